--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -8,8 +8,13 @@
 from gateway.programs import PROGRAMS, launch
 
 
-def main(arguments: list[str]) -> int:
-    """Run a command and return its exit code. The programs start without importing cleo, which costs time."""
+def main(arguments: list[str] | None = None) -> int:
+    """Run a command, by default that of `sys.argv`, and return its exit code.
+
+    The programs start without importing cleo, which costs time.
+    """
+    if arguments is None:
+        arguments = sys.argv[1:]
     if arguments and arguments[0] in PROGRAMS and set(arguments[1:]) <= {"--counts"}:
         return launch(arguments[0])
     from gateway.cli import commands
@@ -18,4 +23,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(main(sys.argv[1:]))
+    sys.exit(main())
--- a/gateway/programs/proxy.py
+++ b/gateway/programs/proxy.py
@@ -21,10 +21,10 @@
 from gateway.runtime.settings import Settings, SettingsFile
 from gateway.runtime.ticker import Ticker
 from gateway.state_machine import Address
-from roadspur.net.connection_interfaces import Limits
-from roadspur.net.http_messages import read_address
-from roadspur.net.server import Server
-from roadspur.net.upstream import Upstream
+from ingress.net.connection_interfaces import Limits
+from ingress.net.http_messages import read_address
+from ingress.net.server import Server
+from ingress.net.upstream import Upstream
 
 TICK_S = 0.05
 SILENT_S = 2.0  # TCP user timeout towards backends
--- a/gateway/programs/proxy_node.py
+++ b/gateway/programs/proxy_node.py
@@ -30,10 +30,10 @@
 from gateway.runtime import config_events
 from gateway.runtime.settings import Settings
 from gateway.state_machine import Address, Send
-from roadspur import interface as io
-from roadspur.net.connection_interfaces import Limits
-from roadspur.net.http_messages import read_address
-from roadspur.net.upstream import Upstream
+from ingress import interface as io
+from ingress.net.connection_interfaces import Limits
+from ingress.net.http_messages import read_address
+from ingress.net.upstream import Upstream
 
 CONNECT_TIMEOUT_S = 0.3  # until a connection to a backend is established
 LEAVE_POLL_S = 0.02  # between two looks whether the shard owners know that the quota client leaves
--- a/gateway/programs/startup.py
+++ b/gateway/programs/startup.py
@@ -24,7 +24,7 @@
 """Numbers of the planes on the wire."""
 
 COUNTS = "--counts"
-"""Option with which a program writes its quota records at once, for `python -m proving allowance`."""
+"""Option with which a program writes its quota records at once, for `python -m simulation allowance`."""
 
 log = logging.getLogger("gateway.startup")
 
--- a/gateway/proxy/decisions.py
+++ b/gateway/proxy/decisions.py
@@ -16,9 +16,9 @@
 from gateway.quota import interface as quota
 from gateway.quota.quota_client import QuotaClient
 from gateway.quota.window import attempt_number
-from roadspur import interface as io
-from roadspur.customer import Customer
-from roadspur.flight import ActiveRequest
+from ingress import interface as io
+from ingress.customer import Customer
+from ingress.flight import ActiveRequest
 
 CHARGE_PATIENCE_RATIO = 0.25  # of its target latency, for a charge; then this ingress's share decides
 MAX_CHARGE_PATIENCE_S = 0.12  # the upper limit of that time
--- a/gateway/proxy/ingress.py
+++ b/gateway/proxy/ingress.py
@@ -1,4 +1,4 @@
-"""The gateway's HTTP protocol towards clients and backends, on the shared ingress of `roadspur.net`."""
+"""The gateway's HTTP protocol towards clients and backends, on the shared ingress of `ingress.net`."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from gateway.proxy.decisions import Backends, Decisions, OverQuota, ProxyPeers, QuotaEvent, RequestContext
 from gateway.proxy.execution_status import ExecutionStatus
 from gateway.state_machine import Send
-from roadspur import interface as io
-from roadspur.net.connection_interfaces import ImmediateResponse
-from roadspur.net.exchange import Endpoint
-from roadspur.net.http_messages import Address, ClientRequest, Response, ResponseEnd
-from roadspur.net.ingress import Ingress
-from roadspur.net.pending_request import PendingRequest
-from roadspur.net.service_protocol import read_number
-from roadspur.net.upstream import Upstream
+from ingress import interface as io
+from ingress.net.connection_interfaces import ImmediateResponse
+from ingress.net.exchange import Endpoint
+from ingress.net.http_messages import Address, ClientRequest, Response, ResponseEnd
+from ingress.net.ingress import Ingress
+from ingress.net.pending_request import PendingRequest
+from ingress.net.service_protocol import read_number
+from ingress.net.upstream import Upstream
 
 DROPPED_RESPONSE_HEADERS = frozenset(
     (  # response headers that aren't passed on to clients
--- a/gateway/proxy/service.py
+++ b/gateway/proxy/service.py
@@ -10,11 +10,11 @@
 
 from gateway.config.routing import Route
 from gateway.proxy.retry_budget import RetryBudget
-from roadspur import interface as io
-from roadspur.concurrency_limit import INITIAL_SLOTS
-from roadspur.fleet import Backend
-from roadspur.flight import ActiveRequest
-from roadspur.routing import Routing
+from ingress import interface as io
+from ingress.concurrency_limit import INITIAL_SLOTS
+from ingress.fleet import Backend
+from ingress.flight import ActiveRequest
+from ingress.routing import Routing
 
 INITIAL_LATENCY_RATIO = 0.3  # of its target latency: the assumed latency of a route before the first response
 COLD_S, COLD_CAPACITY = 3.0, 0.5  # duration of a backend's slow start, and its relative capacity then
--- a/gateway/runtime/config_events.py
+++ b/gateway/runtime/config_events.py
@@ -1,6 +1,6 @@
 """Log records on configuration changes: orders at the leader, and versions that come into force at a node.
 
-A few lines a minute, at level NOTICE, so written at once; `python -m proving orders` reads them.
+A few lines a minute, at level NOTICE, so written at once; `python -m simulation orders` reads them.
 """
 
 from __future__ import annotations
--- a/gateway/runtime/http_listener.py
+++ b/gateway/runtime/http_listener.py
@@ -1,6 +1,6 @@
 """HTTP server for the system's own interfaces: readiness, status, metrics, and the calls to `control`.
 
-It reuses the connection handling of `roadspur`; a call is handed to one function once it is complete.
+It reuses the connection handling of `ingress`; a call is handed to one function once it is complete.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from roadspur import interface as io
-from roadspur.net.client import ClientConnection
-from roadspur.net.connection_interfaces import ImmediateResponse, Limits
-from roadspur.net.http_messages import ClientRequest
-from roadspur.net.pending_request import Client
-from roadspur.net.request_statistics import RequestStatistics
+from ingress import interface as io
+from ingress.net.client import ClientConnection
+from ingress.net.connection_interfaces import ImmediateResponse, Limits
+from ingress.net.http_messages import ClientRequest
+from ingress.net.pending_request import Client
+from ingress.net.request_statistics import RequestStatistics
 
 SWEEP_INTERVAL_S = 0.5
 MAX_BODY_BYTES = 16 * 1024 * 1024  # of one call
--- a/ingress/__init__.py
+++ b/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""roadspur: admission, routing and attempt decisions of a quota gateway."""
+"""ingress: admission, routing and attempt decisions of a quota gateway."""
--- a/ingress/__main__.py
+++ b/ingress/__main__.py
@@ -16,20 +16,20 @@
 
 import uvloop
 
-from roadspur import interface as io
-from roadspur.control import Gateway
-from roadspur.net.console import CommandRefused, Console, ConsoleCommand
-from roadspur.net.counter import Counter
-from roadspur.net.discovery import Discovery, Listing, read_listing
-from roadspur.net.http_messages import Address, read_address
-from roadspur.net.ingress import Ingress
-from roadspur.net.peers import Peers
-from roadspur.net.process_state import State
-from roadspur.net.server import Server
-from roadspur.net.upstream import Upstream
-from roadspur.wirehost import WireError, read_settings
-
-log = logging.getLogger("roadspur")
+from ingress import interface as io
+from ingress.control import Gateway
+from ingress.net.console import CommandRefused, Console, ConsoleCommand
+from ingress.net.counter import Counter
+from ingress.net.discovery import Discovery, Listing, read_listing
+from ingress.net.http_messages import Address, read_address
+from ingress.net.ingress import Ingress
+from ingress.net.peers import Peers
+from ingress.net.process_state import State
+from ingress.net.server import Server
+from ingress.net.upstream import Upstream
+from ingress.wirehost import WireError, read_settings
+
+log = logging.getLogger("ingress")
 
 STATE_S = 0.25  # interval of checks for state shared by another process of this ingress
 BODY_MEMORY_DIVISOR = 8  # larger bodies may together take this fraction (1/8) of the memory
@@ -244,7 +244,7 @@
     try:
         uvloop.run(serve(read_config(os.environ)))
     except (BadConfiguration, OSError) as error:
-        print(f"roadspur: {error}", file=sys.stderr)
+        print(f"ingress: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
         return 1
--- a/ingress/calling.py
+++ b/ingress/calling.py
@@ -4,7 +4,7 @@
 
 import random
 
-from roadspur import interface as io
+from ingress import interface as io
 
 ASK_SHARE, ASK_OVER = 0.8, 0.01  # calls per request beyond which sure refusals make none; weight of a request
 WAIT = 0.3  # target of the mean wait for the counter, in timeouts, by which the call share is adapted
--- a/ingress/control.py
+++ b/ingress/control.py
@@ -1,9 +1,9 @@
-"""The state machine of a quota gateway; its settings, events and actions are in roadspur/interface.py.
+"""The state machine of a quota gateway; its settings, events and actions are in ingress/interface.py.
 
 Here: admission by the shared counter, and by local shares while the counter fails. Sampling of the calls is
-in roadspur/calling.py, a customer's token bucket in roadspur/customer.py, usage reports between peers in
-roadspur/gossip.py, the cap on open requests in roadspur/opencap.py, attempts in roadspur/routing.py, the
-limit on those in flight in roadspur/concurrency_limit.py.
+in ingress/calling.py, a customer's token bucket in ingress/customer.py, usage reports between peers in
+ingress/gossip.py, the cap on open requests in ingress/opencap.py, attempts in ingress/routing.py, the
+limit on those in flight in ingress/concurrency_limit.py.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from roadspur import interface as io
-from roadspur.calling import CounterCallPolicy
-from roadspur.customer import Customer, Customers
-from roadspur.flight import ActiveRequest
-from roadspur.gossip import Gossip
-from roadspur.opencap import KEEP, ConcurrencyCap
-from roadspur.routing import SWEEP_INTERVAL_S, Routing
+from ingress import interface as io
+from ingress.calling import CounterCallPolicy
+from ingress.customer import Customer, Customers
+from ingress.flight import ActiveRequest
+from ingress.gossip import Gossip
+from ingress.opencap import KEEP, ConcurrencyCap
+from ingress.routing import SWEEP_INTERVAL_S, Routing
 
 VERDICT = 0.3  # weight of a new verdict in a customer's admission probability (a fifth of it in its plan's)
 SWEEP_TIMER, GOSSIP_TIMER = 0, 1  # tokens of timers
--- a/ingress/customer.py
+++ b/ingress/customer.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from roadspur import interface as io
+from ingress import interface as io
 
 UNKNOWN = 0.8  # fraction of the burst taken as left over from a window of which nothing was seen
 EXCESS_S = 0.3  # after which a total's excess that no peer has reported was a charge that was added back
--- a/ingress/fleet.py
+++ b/ingress/fleet.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Mapping
 
-from roadspur import interface as io
+from ingress import interface as io
 
 EJECT_S = 3.0  # how long a backend is ejected before a trial attempt
 KEEP_SHARE = 0.5  # fraction of the fleet that outlier ejection must leave in use
--- a/ingress/flight.py
+++ b/ingress/flight.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from roadspur import interface as io
-from roadspur.customer import Customer
+from ingress import interface as io
+from ingress.customer import Customer
 
 
 class ActiveRequest:
--- a/ingress/gossip.py
+++ b/ingress/gossip.py
@@ -6,9 +6,9 @@
 from collections import OrderedDict
 from itertools import islice
 
-from roadspur import interface as io
-from roadspur.calling import CounterCallPolicy
-from roadspur.customer import Customer, Customers
+from ingress import interface as io
+from ingress.calling import CounterCallPolicy
+from ingress.customer import Customer, Customers
 
 GOSSIP_INTERVAL_S, GOSSIP_INTERVAL_MAX_S = (
     0.1,
--- a/ingress/net/client.py
+++ b/ingress/net/client.py
@@ -6,12 +6,12 @@
 
 import httptools
 
-from roadspur.net.client_connection_base import FLOW_STALL_S
-from roadspur.net.connection_interfaces import ConnectionServer, ImmediateResponse
-from roadspur.net.http_messages import BLANKS, MAX_WHOLE, ClientRequest
-from roadspur.net.request_parser import BadRequest
-from roadspur.net.response_queue import ResponseQueue
-from roadspur.net.upload import Upload
+from ingress.net.client_connection_base import FLOW_STALL_S
+from ingress.net.connection_interfaces import ConnectionServer, ImmediateResponse
+from ingress.net.http_messages import BLANKS, MAX_WHOLE, ClientRequest
+from ingress.net.request_parser import BadRequest
+from ingress.net.response_queue import ResponseQueue
+from ingress.net.upload import Upload
 
 PIPELINE = 16  # requests read ahead on one connection
 SLOW_RATE = 32 * 1024  # bytes a second: the least rate at which a request body has to arrive
--- a/ingress/net/client_connection_base.py
+++ b/ingress/net/client_connection_base.py
@@ -9,8 +9,8 @@
 import struct
 from typing import cast
 
-from roadspur.net.connection_interfaces import ConnectionServer
-from roadspur.net.http_messages import EMPTY, unsent
+from ingress.net.connection_interfaces import ConnectionServer
+from ingress.net.http_messages import EMPTY, unsent
 
 FLOW_STALL_S = 10.0  # for a client to read any more of a large response
 CLOSE = b"Connection: close\r\n"
--- a/ingress/net/connection_interfaces.py
+++ b/ingress/net/connection_interfaces.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple, Protocol
 
-from roadspur import interface as io
-from roadspur.net.http_messages import MAX_BODY, MAX_HEAD, ClientRequest
-from roadspur.net.pending_request import Client
-from roadspur.net.request_statistics import RequestStatistics
+from ingress import interface as io
+from ingress.net.http_messages import MAX_BODY, MAX_HEAD, ClientRequest
+from ingress.net.pending_request import Client
+from ingress.net.request_statistics import RequestStatistics
 
 
 class ImmediateResponse(NamedTuple):
--- a/ingress/net/counter.py
+++ b/ingress/net/counter.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import cast
 
-from roadspur import interface as io
-from roadspur.net.http_messages import Address, Response, ResponseReader
-from roadspur.net.request_statistics import RequestStatistics
+from ingress import interface as io
+from ingress.net.http_messages import Address, Response, ResponseReader
+from ingress.net.request_statistics import RequestStatistics
 
 log = logging.getLogger(__name__)
 
--- a/ingress/net/discovery.py
+++ b/ingress/net/discovery.py
@@ -12,9 +12,9 @@
 
 import httptools
 
-from roadspur import interface as io
-from roadspur.net.exchange import Endpoint
-from roadspur.net.http_messages import Address, read_address
+from ingress import interface as io
+from ingress.net.exchange import Endpoint
+from ingress.net.http_messages import Address, read_address
 
 log = logging.getLogger(__name__)
 
--- a/ingress/net/exchange.py
+++ b/ingress/net/exchange.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from roadspur import interface as io
-from roadspur.net.http_messages import Address, Response, ResponseEnd
-from roadspur.net.upload import Upload
+from ingress import interface as io
+from ingress.net.http_messages import Address, Response, ResponseEnd
+from ingress.net.upload import Upload
 
 REFUSED_STATUS = (503, 504)
 PLAIN = ResponseEnd()
--- a/ingress/net/http_messages.py
+++ b/ingress/net/http_messages.py
@@ -11,8 +11,8 @@
 
 import httptools
 
-from roadspur import interface as io
-from roadspur.net.upload import Upload
+from ingress import interface as io
+from ingress.net.upload import Upload
 
 MAX_WHOLE = 64 * 1024  # bytes of a body that is buffered; a larger one is streamed
 MAX_BODY = 40 * 1024 * 1024  # bytes
--- a/ingress/net/ingress.py
+++ b/ingress/net/ingress.py
@@ -9,13 +9,13 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from roadspur import interface as io
-from roadspur.net.counter import Counter
-from roadspur.net.discovery import Listing
-from roadspur.net.peers import Peers
-from roadspur.net.process_state import State
-from roadspur.net.upstream import Upstream
-from roadspur.net.upstream_attempts import UpstreamAttempts
+from ingress import interface as io
+from ingress.net.counter import Counter
+from ingress.net.discovery import Listing
+from ingress.net.peers import Peers
+from ingress.net.process_state import State
+from ingress.net.upstream import Upstream
+from ingress.net.upstream_attempts import UpstreamAttempts
 
 log = logging.getLogger(__name__)
 
--- a/ingress/net/peers.py
+++ b/ingress/net/peers.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any, cast
 
-from roadspur import interface as io
-from roadspur.net.http_messages import Address
+from ingress import interface as io
+from ingress.net.http_messages import Address
 
 log = logging.getLogger(__name__)
 
--- a/ingress/net/pending_request.py
+++ b/ingress/net/pending_request.py
@@ -5,10 +5,10 @@
 import asyncio
 from typing import Protocol
 
-from roadspur import interface as io
-from roadspur.net.exchange import Exchange
-from roadspur.net.http_messages import ClientRequest, Response
-from roadspur.net.request_statistics import RequestStatistics
+from ingress import interface as io
+from ingress.net.exchange import Exchange
+from ingress.net.http_messages import ClientRequest, Response
+from ingress.net.request_statistics import RequestStatistics
 
 
 class Client(Protocol):
--- a/ingress/net/pending_requests.py
+++ b/ingress/net/pending_requests.py
@@ -6,12 +6,12 @@
 import logging
 import math
 
-from roadspur import interface as io
-from roadspur.net.http_messages import ClientRequest
-from roadspur.net.pending_request import Client, PendingRequest
-from roadspur.net.request_statistics import RequestStatistics
-from roadspur.net.service_protocol import ServiceProtocol
-from roadspur.net.upstream import Upstream
+from ingress import interface as io
+from ingress.net.http_messages import ClientRequest
+from ingress.net.pending_request import Client, PendingRequest
+from ingress.net.request_statistics import RequestStatistics
+from ingress.net.service_protocol import ServiceProtocol
+from ingress.net.upstream import Upstream
 
 log = logging.getLogger(__name__)
 
--- a/ingress/net/process_state.py
+++ b/ingress/net/process_state.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from roadspur import interface as io
+from ingress import interface as io
 
 log = logging.getLogger(__name__)
 
--- a/ingress/net/request_parser.py
+++ b/ingress/net/request_parser.py
@@ -4,7 +4,7 @@
 
 import re
 
-from roadspur import interface as io
+from ingress import interface as io
 
 CUSTOMER = re.compile(rb"(?:/[^/?#]*)+?/([0-9a-fA-F]{16})(?:\?.*)?")
 CALL_ID = re.compile(rb"[!-~]{1,64}")
--- a/ingress/net/response_queue.py
+++ b/ingress/net/response_queue.py
@@ -4,10 +4,10 @@
 
 from collections import deque
 
-from roadspur.net.client_connection_base import ClientConnectionBase
-from roadspur.net.connection_interfaces import ConnectionServer, ImmediateResponse
-from roadspur.net.exchange import Exchange
-from roadspur.net.http_messages import ClientRequest
+from ingress.net.client_connection_base import ClientConnectionBase
+from ingress.net.connection_interfaces import ConnectionServer, ImmediateResponse
+from ingress.net.exchange import Exchange
+from ingress.net.http_messages import ClientRequest
 
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
--- a/ingress/net/server.py
+++ b/ingress/net/server.py
@@ -6,11 +6,11 @@
 import itertools
 from collections.abc import Iterator
 
-from roadspur.net import connection_interfaces
-from roadspur.net.client import ClientConnection
-from roadspur.net.connection_interfaces import Limits
-from roadspur.net.ingress import Ingress
-from roadspur.net.reuseport import divert_new_connections
+from ingress.net import connection_interfaces
+from ingress.net.client import ClientConnection
+from ingress.net.connection_interfaces import Limits
+from ingress.net.ingress import Ingress
+from ingress.net.reuseport import divert_new_connections
 
 SWEEP_S = 0.25  # between checks of the connections' time limits
 NOTICE_S = 0.5  # after a drain begins, during which new connections still arrive for up to 0.4 s
--- a/ingress/net/service_protocol.py
+++ b/ingress/net/service_protocol.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from roadspur import interface as io
-from roadspur.net.connection_interfaces import ImmediateResponse
-from roadspur.net.exchange import PLAIN, outcome_of
-from roadspur.net.http_messages import ClientRequest, Response
-from roadspur.net.request_parser import CUSTOMER, BadRequest, read_request
+from ingress import interface as io
+from ingress.net.connection_interfaces import ImmediateResponse
+from ingress.net.exchange import PLAIN, outcome_of
+from ingress.net.http_messages import ClientRequest, Response
+from ingress.net.request_parser import CUSTOMER, BadRequest, read_request
 
 
 class ServiceProtocol:
--- a/ingress/net/upstream.py
+++ b/ingress/net/upstream.py
@@ -8,9 +8,9 @@
 import socket
 from typing import cast
 
-from roadspur import interface as io
-from roadspur.net.exchange import Endpoint, Exchange
-from roadspur.net.http_messages import Response, ResponseReader
+from ingress import interface as io
+from ingress.net.exchange import Endpoint, Exchange
+from ingress.net.http_messages import Response, ResponseReader
 
 log = logging.getLogger(__name__)
 
--- a/ingress/net/upstream_attempts.py
+++ b/ingress/net/upstream_attempts.py
@@ -5,12 +5,12 @@
 import logging
 from functools import partial
 
-from roadspur import interface as io
-from roadspur.net.exchange import Exchange
-from roadspur.net.http_messages import Response
-from roadspur.net.pending_request import PendingRequest, ResponseRelay
-from roadspur.net.pending_requests import PendingRequests
-from roadspur.net.service_protocol import read_number
+from ingress import interface as io
+from ingress.net.exchange import Exchange
+from ingress.net.http_messages import Response
+from ingress.net.pending_request import PendingRequest, ResponseRelay
+from ingress.net.pending_requests import PendingRequests
+from ingress.net.service_protocol import read_number
 
 log = logging.getLogger(__name__)
 
--- a/ingress/opencap.py
+++ b/ingress/opencap.py
@@ -5,11 +5,11 @@
 import math
 from collections import deque
 
-from roadspur import interface as io
-from roadspur.calling import CounterCallPolicy
-from roadspur.customer import Customer, mix
-from roadspur.flight import ActiveRequest
-from roadspur.routing import Routing
+from ingress import interface as io
+from ingress.calling import CounterCallPolicy
+from ingress.customer import Customer, mix
+from ingress.flight import ActiveRequest
+from ingress.routing import Routing
 
 OPEN_AIMS = 2.0  # window of a count in longest objectives; a new one starts with the requests open then
 VERDICT_PART = 0.6  # factor on a verdict's gain: one on the cap takes two calls, one on a rate gains more
--- a/ingress/routing.py
+++ b/ingress/routing.py
@@ -10,10 +10,10 @@
 import random
 from collections.abc import Iterable
 
-from roadspur import interface as io
-from roadspur.concurrency_limit import OVERLOAD_LATENCY_RATIO, ConcurrencyLimit
-from roadspur.fleet import Backend, Fleet
-from roadspur.flight import ActiveRequest
+from ingress import interface as io
+from ingress.concurrency_limit import OVERLOAD_LATENCY_RATIO, ConcurrencyLimit
+from ingress.fleet import Backend, Fleet
+from ingress.flight import ActiveRequest
 
 BAD_SHARE = 0.5  # error rate at which a backend is ejected
 SILENT_LATENCY_RATIO = (
--- a/ingress/wirehost.py
+++ b/ingress/wirehost.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any, NoReturn, TextIO
 
-from roadspur import interface as io
-from roadspur.control import Gateway
+from ingress import interface as io
+from ingress.control import Gateway
 
 OUTCOMES = {
     "success": io.Outcome.OK,
--- a/simulation/__main__.py
+++ b/simulation/__main__.py
@@ -1,7 +1,7 @@
-"""Entry point of `python -m proving`."""
+"""Entry point of `python -m simulation`."""
 
 import sys
 
-from proving.cli import main
+from simulation.cli import main
 
 sys.exit(main())
--- a/simulation/allowance.py
+++ b/simulation/allowance.py
@@ -14,7 +14,7 @@
 from gateway.cli.nodes import columns
 from gateway.programs.quota_report import QUOTA_LOGGER
 from gateway.quota.decision_statistics import DECISION_KINDS, EDGES, HOLDER, SHARE, SPLIT
-from proving.log_lines import objects
+from simulation.log_lines import objects
 
 TIME = re.compile(r"(?<![\w.])(\d+(?:\.\d+)?)(?![\w.])")
 NAME = re.compile(r"[A-Za-z][\w.-]*")
--- a/simulation/allowance_report.py
+++ b/simulation/allowance_report.py
@@ -10,9 +10,9 @@
 from matplotlib import pyplot as plt
 
 from gateway.quota.decision_statistics import DECISION_KINDS, EDGES
-from proving import allowance
-from proving.allowance import STEP_S, Day, Table
-from proving.report import STYLE, picture
+from simulation import allowance
+from simulation.allowance import STEP_S, Day, Table
+from simulation.report import STYLE, picture
 
 COLOURS = ("#2f855a", "#2b6cb0", "#c05621", "#dd9b5f", "#c53030")
 
--- a/simulation/capacity/agreement.py
+++ b/simulation/capacity/agreement.py
@@ -8,12 +8,12 @@
 
 from gateway.quota.decision_statistics import DECISION_KINDS
 from gateway.runtime.http_listener import HttpCall
-from proving.capacity import design, documents
-from proving.capacity.fleet import Fleet, FleetError, FleetSize
-from proving.capacity.isolation import isolated
-from proving.capacity.samples import Sample
-from proving.model.machines import RESTART_S, START_S
-from proving.model.processes import ControllerProcess
+from simulation.capacity import design, documents
+from simulation.capacity.fleet import Fleet, FleetError, FleetSize
+from simulation.capacity.isolation import isolated
+from simulation.capacity.samples import Sample
+from simulation.model.machines import RESTART_S, START_S
+from simulation.model.processes import ControllerProcess
 
 STUDY, CUT_STUDY = "agreement", "region-cut"
 LATENCY_AXIS, CUT_AXIS = "members", "seconds of the cut"
--- a/simulation/capacity/budget.py
+++ b/simulation/capacity/budget.py
@@ -11,9 +11,9 @@
 from gateway.programs.status_report import LEASES
 from gateway.quota.client_registry import MAX_CLIENTS
 from gateway.runtime.tcp_links import MAX_OUTBOUND_LINKS, OUTBOUND_IDLE_S
-from proving.capacity import design, programs, remedies
-from proving.capacity.figures import Estimate, Figures, Part, scaled, together
-from proving.capacity.growth import TOTAL
+from simulation.capacity import design, programs, remedies
+from simulation.capacity.figures import Estimate, Figures, Part, scaled, together
+from simulation.capacity.growth import TOTAL
 
 INGRESS, LEADER, CONTROLLER, TOOLS = "ingress", "leader", "controller", "operators' tools"
 CHANGES_PER_S: Final = design.CHANGES_PER_DAY / design.SECONDS_PER_DAY
--- a/simulation/capacity/configuration.py
+++ b/simulation/capacity/configuration.py
@@ -19,9 +19,9 @@
 from gateway.quota import interface as quota
 from gateway.quota.quota_client import QuotaClient
 from gateway.quota.shard_owner import ShardOwner
-from proving.capacity import design, documents
-from proving.capacity.isolation import isolated
-from proving.capacity.samples import Sample
+from simulation.capacity import design, documents
+from simulation.capacity.isolation import isolated
+from simulation.capacity.samples import Sample
 
 T = TypeVar("T")
 
--- a/simulation/capacity/figures.py
+++ b/simulation/capacity/figures.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Final, NamedTuple
 
-from proving.capacity import design, fit
-from proving.capacity.fleet import FleetSize
-from proving.capacity.growth import TOTAL
-from proving.capacity.meter import BACKENDS, REQUESTS, TIMERS
-from proving.capacity.samples import Point, Recording, RecordingError, Sample
+from simulation.capacity import design, fit
+from simulation.capacity.fleet import FleetSize
+from simulation.capacity.growth import TOTAL
+from simulation.capacity.meter import BACKENDS, REQUESTS, TIMERS
+from simulation.capacity.samples import Point, Recording, RecordingError, Sample
 
 USUAL = FleetSize()
 REQUESTS_FLEET = 12
--- a/simulation/capacity/fit.py
+++ b/simulation/capacity/fit.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from proving.capacity.samples import Point
+from simulation.capacity.samples import Point
 
 LEAST_POINTS = 3
 
--- a/simulation/capacity/fleet.py
+++ b/simulation/capacity/fleet.py
@@ -7,16 +7,16 @@
 from dataclasses import dataclass
 
 from gateway.quota import interface as quota
-from proving.capacity import design
-from proving.capacity.meter import Counts, LinkNetwork, Meter
-from proving.model.deployment import Deployment
-from proving.model.machines import Machine
-from proving.model.network import LinkProfile, Location
-from proving.model.operators import OperatorPool
-from proving.model.processes import ControllerProcess, Program, ProxyProcess
-from proving.model.record import Record
-from proving.model.simulator import Simulator
-from proving.spec import Bounds, Kind, Links, Service, Spec, Tenants
+from simulation.capacity import design
+from simulation.capacity.meter import Counts, LinkNetwork, Meter
+from simulation.model.deployment import Deployment
+from simulation.model.machines import Machine
+from simulation.model.network import LinkProfile, Location
+from simulation.model.operators import OperatorPool
+from simulation.model.processes import ControllerProcess, Program, ProxyProcess
+from simulation.model.record import Record
+from simulation.model.simulator import Simulator
+from simulation.spec import Bounds, Kind, Links, Service, Spec, Tenants
 
 CONTROLLER, INGRESS = "controller", "proxy"
 """The two programs, by their names in the settings."""
--- a/simulation/capacity/growth.py
+++ b/simulation/capacity/growth.py
@@ -11,12 +11,12 @@
 from gateway.programs.fleet_monitor import STATUS
 from gateway.programs.status_report import LEASES
 from gateway.runtime.http_listener import HttpCall
-from proving.capacity import design
-from proving.capacity.configuration import resident_mb
-from proving.capacity.fleet import Fleet, FleetError, FleetSize
-from proving.capacity.isolation import isolated
-from proving.capacity.meter import Counts
-from proving.capacity.samples import Sample
+from simulation.capacity import design
+from simulation.capacity.configuration import resident_mb
+from simulation.capacity.fleet import Fleet, FleetError, FleetSize
+from simulation.capacity.isolation import isolated
+from simulation.capacity.meter import Counts
+from simulation.capacity.samples import Sample
 
 SETTLE_S, QUICK_SETTLE_S = 5.0, 0.5
 """Seconds after the start in which heartbeats are more frequent than later."""
--- a/simulation/capacity/isolation.py
+++ b/simulation/capacity/isolation.py
@@ -7,7 +7,7 @@
 from multiprocessing import get_context
 from typing import ParamSpec, TypeVar
 
-from proving.hunt import quiet
+from simulation.hunt import quiet
 
 P = ParamSpec("P")
 T = TypeVar("T")
--- a/simulation/capacity/meter.py
+++ b/simulation/capacity/meter.py
@@ -15,9 +15,9 @@
 from gateway.runtime.peer_transport import MAX_DATAGRAM_BYTES
 from gateway.runtime.tcp_links import MAX_OUTBOUND_LINKS, OUTBOUND_IDLE_S
 from gateway.state_machine import Address
-from proving.model.network import Location, Network
-from proving.model.processes import ControllerProcess, Program, ProxyProcess
-from proving.planes import PLANE_NAMES
+from simulation.model.network import Location, Network
+from simulation.model.processes import ControllerProcess, Program, ProxyProcess
+from simulation.planes import PLANE_NAMES
 
 MESSAGE_CLASSES: Final[dict[int, Any]] = {
     CONSENSUS: ConsensusMessage,
--- a/simulation/capacity/page.py
+++ b/simulation/capacity/page.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Mapping
 
-from proving.capacity import design, former_names, remedies, sections
-from proving.capacity.budget import BudgetLine, gaps, lines
-from proving.capacity.figures import LEAST_CERTAINTY, Figures, number, table
-from proving.capacity.samples import Recording
+from simulation.capacity import design, former_names, remedies, sections
+from simulation.capacity.budget import BudgetLine, gaps, lines
+from simulation.capacity.figures import LEAST_CERTAINTY, Figures, number, table
+from simulation.capacity.samples import Recording
 
-COMMAND = "python -m proving capacity"
+COMMAND = "python -m simulation capacity"
 
 
 def page(recordings: Mapping[str, Recording]) -> str:
--- a/simulation/capacity/programs.py
+++ b/simulation/capacity/programs.py
@@ -14,11 +14,11 @@
 
 import numpy as np
 
-from proving.capacity import documents
-from proving.capacity.samples import Sample
-from proving.loopback import http_clients
-from proving.loopback.local_cluster import BACKENDS_AT, LocalCluster, LocalMachine
-from proving.spec import Service, Spec
+from simulation.capacity import documents
+from simulation.capacity.samples import Sample
+from simulation.loopback import http_clients
+from simulation.loopback.local_cluster import BACKENDS_AT, LocalCluster, LocalMachine
+from simulation.spec import Service, Spec
 
 STUDY, AXIS = "programs", "tenants of real programs"
 SIZES, QUICK_SIZES = (1_000, 5_500, 22_000), (10, 20, 30)
--- a/simulation/capacity/regions.py
+++ b/simulation/capacity/regions.py
@@ -6,12 +6,12 @@
 from typing import Any, NamedTuple
 
 from gateway.quota.decision_statistics import EDGES, HOLDER, SHARE
-from proving.capacity import design
-from proving.capacity.agreement import Region, by_region, order, takes_orders
-from proving.capacity.fleet import Fleet, FleetSize
-from proving.capacity.isolation import isolated
-from proving.capacity.samples import Sample
-from proving.model.processes import ProxyProcess
+from simulation.capacity import design
+from simulation.capacity.agreement import Region, by_region, order, takes_orders
+from simulation.capacity.fleet import Fleet, FleetSize
+from simulation.capacity.isolation import isolated
+from simulation.capacity.samples import Sample
+from simulation.model.processes import ProxyProcess
 
 STUDY, AXIS = "regions", "regions"
 INGRESSES, TENANTS, REQUESTS = 12, 12, 10.0
--- a/simulation/capacity/restarts.py
+++ b/simulation/capacity/restarts.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterator, Sequence
 from typing import Any, NamedTuple
 
-from proving.capacity.fleet import ZONES, Fleet, FleetError, FleetSize
-from proving.capacity.growth import QUICK_SETTLE_S, SETTLE_S
-from proving.capacity.isolation import isolated
-from proving.capacity.samples import Sample
-from proving.model.machines import RESTART_S, START_S, Machine
+from simulation.capacity.fleet import ZONES, Fleet, FleetError, FleetSize
+from simulation.capacity.growth import QUICK_SETTLE_S, SETTLE_S
+from simulation.capacity.isolation import isolated
+from simulation.capacity.samples import Sample
+from simulation.model.machines import RESTART_S, START_S, Machine
 
 STUDY, LARGE_STUDY = "restarts", "restarts-large"
 AXIS = "restarts at ingresses"
--- a/simulation/capacity/samples.py
+++ b/simulation/capacity/samples.py
@@ -12,7 +12,7 @@
 from statistics import median
 from typing import Any
 
-from proving.capacity import former_names
+from simulation.capacity import former_names
 
 SIGNIFICANT_DIGITS = 5
 
--- a/simulation/capacity/sections.py
+++ b/simulation/capacity/sections.py
@@ -6,12 +6,12 @@
 from statistics import median
 
 from gateway.runtime.tcp_links import MAX_OUTBOUND_LINKS
-from proving.capacity import design, fit, growth, programs, restarts
-from proving.capacity.agreement import CUT_AXIS, LATENCY_AXIS
-from proving.capacity.figures import LEAST_CERTAINTY, Figures, number, table
-from proving.capacity.regions import AXIS as REGIONS_AXIS
-from proving.capacity.regions import DESIGNS
-from proving.capacity.samples import Point, Recording
+from simulation.capacity import design, fit, growth, programs, restarts
+from simulation.capacity.agreement import CUT_AXIS, LATENCY_AXIS
+from simulation.capacity.figures import LEAST_CERTAINTY, Figures, number, table
+from simulation.capacity.regions import AXIS as REGIONS_AXIS
+from simulation.capacity.regions import DESIGNS
+from simulation.capacity.samples import Point, Recording
 
 LEAST_MESSAGES = 0.5
 """Messages a second at the largest fleet, below which a kind isn't shown."""
--- a/simulation/capacity/sockets.py
+++ b/simulation/capacity/sockets.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from proving.capacity.samples import Sample
+from simulation.capacity.samples import Sample
 
 STUDY, AXIS = "sockets", "bytes of a datagram"
 SIZES = (40, 200, 1000)
--- a/simulation/capacity/studies.py
+++ b/simulation/capacity/studies.py
@@ -8,11 +8,20 @@
 from pathlib import Path
 from typing import Any
 
-from proving.capacity import agreement, configuration, growth, programs, regions, restarts, samples, sockets
-from proving.capacity.samples import Recording, RecordingError, Sample
-from proving.hunt import source
+from simulation.capacity import (
+    agreement,
+    configuration,
+    growth,
+    programs,
+    regions,
+    restarts,
+    samples,
+    sockets,
+)
+from simulation.capacity.samples import Recording, RecordingError, Sample
+from simulation.hunt import source
 
-COMMAND = "python -m proving capacity"
+COMMAND = "python -m simulation capacity"
 
 
 @dataclass(frozen=True)
--- a/simulation/checkers/__init__.py
+++ b/simulation/checkers/__init__.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from proving.checkers.budgets import budget, quota
-from proving.checkers.configuration import config
-from proving.checkers.draining import drain, lost
-from proving.checkers.history import RuleViolation, RunHistory
-from proving.checkers.recovery import acks, faults, recover
-from proving.checkers.requests import denied, mixed, refused, route, twice, unasked
-from proving.model.record import Record
+from simulation.checkers.budgets import budget, quota
+from simulation.checkers.configuration import config
+from simulation.checkers.draining import drain, lost
+from simulation.checkers.history import RuleViolation, RunHistory
+from simulation.checkers.recovery import acks, faults, recover
+from simulation.checkers.requests import denied, mixed, refused, route, twice, unasked
+from simulation.model.record import Record
 
 RULES = {
     "CONFIG": config,
--- a/simulation/checkers/budgets.py
+++ b/simulation/checkers/budgets.py
@@ -4,7 +4,7 @@
 
 from bisect import bisect_left, bisect_right
 
-from proving.checkers.history import RuleViolation, RunHistory, limit_findings
+from simulation.checkers.history import RuleViolation, RunHistory, limit_findings
 
 
 def quota(history: RunHistory) -> list[RuleViolation]:
--- a/simulation/checkers/configuration.py
+++ b/simulation/checkers/configuration.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from proving.checkers.history import ConfigVersion, RuleViolation, RunHistory, limit_findings
-from proving.model.record import Order, Sent
+from simulation.checkers.history import ConfigVersion, RuleViolation, RunHistory, limit_findings
+from simulation.model.record import Order, Sent
 
 KEEPS_PROCESSES = (
     "slow",
--- a/simulation/checkers/history.py
+++ b/simulation/checkers/history.py
@@ -5,7 +5,7 @@
 from functools import cached_property
 from typing import Any, NamedTuple
 
-from proving.model.record import Arrived, Order, Record, Sent
+from simulation.model.record import Arrived, Order, Record, Sent
 
 MOST = 5  # findings reported for one rule
 
--- a/simulation/checkers/recovery.py
+++ b/simulation/checkers/recovery.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from proving.checkers.history import RuleViolation, RunHistory, limit_findings
+from simulation.checkers.history import RuleViolation, RunHistory, limit_findings
 
 
 def recover(history: RunHistory) -> list[RuleViolation]:
--- a/simulation/checkers/requests.py
+++ b/simulation/checkers/requests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from proving.checkers.history import RuleViolation, RunHistory, limit_findings
+from simulation.checkers.history import RuleViolation, RunHistory, limit_findings
 
 PROMISES = (429, 503, 408, 421)  # statuses that promise that the request was not run and never will be
 OWN = (408, 409, 421, 429)  # statuses of the system's own that are no denial
--- a/simulation/cli.py
+++ b/simulation/cli.py
@@ -1,4 +1,4 @@
-"""The command line: `python -m proving COMMAND ...`.
+"""The command line: `python -m simulation COMMAND ...`.
 
 Exit codes: 0 no rule is violated, 1 some rule is, 2 invalid arguments or files.
 """
@@ -7,14 +7,14 @@
 
 from cleo.application import Application
 
-from proving import hunt
-from proving.commands.base import ProvingCommand
-from proving.commands.capacity import CapacityCommand
-from proving.commands.hunt import HuntCommand
-from proving.commands.loopback import LoadCommand
-from proving.commands.plan import PlanCommand
-from proving.commands.recordings import RecordCommand, ReplayCommand
-from proving.commands.reports import (
+from simulation import hunt
+from simulation.commands.base import ProvingCommand
+from simulation.commands.capacity import CapacityCommand
+from simulation.commands.hunt import HuntCommand
+from simulation.commands.loopback import LoadCommand
+from simulation.commands.plan import PlanCommand
+from simulation.commands.recordings import RecordCommand, ReplayCommand
+from simulation.commands.reports import (
     AllowanceCommand,
     CompareCommand,
     InjectedBugsCommand,
@@ -22,9 +22,9 @@
     OrdersCommand,
     StandardCommand,
 )
-from proving.commands.run import RunCommand
-from proving.commands.sweep import SweepCommand
-from proving.commands.transcript import ShowCommand
+from simulation.commands.run import RunCommand
+from simulation.commands.sweep import SweepCommand
+from simulation.commands.transcript import ShowCommand
 
 COMMANDS: tuple[type[ProvingCommand], ...] = (
     RunCommand,
@@ -49,7 +49,7 @@
 def main() -> int:
     """Run the command line; returns the exit code. Silences the programs' own logs in this process."""
     hunt.quiet()
-    application = Application("proving", "1")
+    application = Application("simulation", "1")
     for command in COMMANDS:
         application.add(command())
     return application.run()
--- a/simulation/commands/__init__.py
+++ b/simulation/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of `python -m proving`, one module for each subject; proving.cli lists them all."""
+"""The commands of `python -m simulation`, one module for each subject; simulation.cli lists them all."""
--- a/simulation/commands/base.py
+++ b/simulation/commands/base.py
@@ -9,8 +9,8 @@
 from cleo.formatters.formatter import Formatter
 from cleo.helpers import argument, option
 
-from proving import random_days, spec
-from proving.hunt import HuntResult
+from simulation import random_days, spec
+from simulation.hunt import HuntResult
 
 EXPERIMENT = argument("file", "An experiment (TOML).")
 SEED = option("seed", "s", "Seed of the run.", flag=False, default="1")
--- a/simulation/commands/capacity.py
+++ b/simulation/commands/capacity.py
@@ -8,7 +8,7 @@
 from cleo.helpers import option
 from cleo.io.inputs.option import Option
 
-from proving.commands.base import ProvingCommand
+from simulation.commands.base import ProvingCommand
 
 
 class CapacityCommand(ProvingCommand):
@@ -34,7 +34,7 @@
         """Run the chosen studies and write the page, unless recordings are missing."""
         from tqdm import tqdm
 
-        from proving.capacity import page, studies
+        from simulation.capacity import page, studies
 
         quick, recorded = bool(self.option("quick")), self.option("from") or ""
         if recorded and (quick or self.option("only")):
--- a/simulation/commands/hunt.py
+++ b/simulation/commands/hunt.py
@@ -9,8 +9,8 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from proving import hunt, random_days, spec
-from proving.commands.base import CORES, EXPERIMENT, FIRST, GROUPS, SEEDS, VALUES, ProvingCommand
+from simulation import hunt, random_days, spec
+from simulation.commands.base import CORES, EXPERIMENT, FIRST, GROUPS, SEEDS, VALUES, ProvingCommand
 
 
 class HuntCommand(ProvingCommand):
--- a/simulation/commands/loopback.py
+++ b/simulation/commands/loopback.py
@@ -9,7 +9,7 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from proving.commands.base import EXPERIMENT, SEED, ProvingCommand
+from simulation.commands.base import EXPERIMENT, SEED, ProvingCommand
 
 
 class LoadCommand(ProvingCommand):
@@ -26,7 +26,7 @@
 
     def act(self) -> int:
         """Run the day and print the metrics of both."""
-        from proving.loopback.driver import compare
+        from simulation.loopback.driver import compare
 
         recordings = Path(self.option("recordings")) if self.option("recordings") else None
         if recordings is not None:
--- a/simulation/commands/plan.py
+++ b/simulation/commands/plan.py
@@ -8,7 +8,7 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from proving.commands.base import CORES, EXPERIMENT, SEEDS, ProvingCommand
+from simulation.commands.base import CORES, EXPERIMENT, SEEDS, ProvingCommand
 
 
 class PlanCommand(ProvingCommand):
@@ -21,7 +21,7 @@
 
     def act(self) -> int:
         """Simulate the plan; 1 if a rule is violated after the change."""
-        from proving import planner
+        from simulation import planner
 
         plan = planner.make(self.experiment(), self.argument("change"))
         outcome = planner.play(plan, range(1, 1 + (self.number("seeds") or 4)), self.number("cores"))
--- a/simulation/commands/recordings.py
+++ b/simulation/commands/recordings.py
@@ -9,7 +9,7 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from proving.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, ProvingCommand
+from simulation.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, ProvingCommand
 
 
 class RecordCommand(ProvingCommand):
@@ -28,8 +28,8 @@
 
     def act(self) -> int:
         """Record the day and replay each process; 1 if a replay differs."""
-        from proving import recording
-        from proving.model.simulation_run import Run
+        from simulation import recording
+        from simulation.model.simulation_run import Run
 
         run = Run(self.day(), self.number("seed"))
         recordings: list[tuple[str, recording.Recording]] = []
@@ -64,7 +64,7 @@
 
     def act(self) -> int:
         """Replay the file, or print it; 1 if an output differs, 2 if the recording is incomplete."""
-        from proving import recording
+        from simulation import recording
 
         head, count, steps = recording.load(Path(self.argument("file")))
         if self.option("print"):
--- a/simulation/commands/reports.py
+++ b/simulation/commands/reports.py
@@ -9,8 +9,8 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from proving import hunt, injected_bug_cases
-from proving.commands.base import CORES, SEEDS, ProvingCommand
+from simulation import hunt, injected_bug_cases
+from simulation.commands.base import CORES, SEEDS, ProvingCommand
 
 
 class StandardCommand(ProvingCommand):
@@ -23,7 +23,7 @@
 
     def act(self) -> int:
         """Print the table of the days."""
-        from proving import standard_days
+        from simulation import standard_days
 
         for line in standard_days.table(
             self.argument("site"), self.number("seeds") or 4, self.number("cores")
@@ -38,11 +38,11 @@
     name = "allowance"
     description = "Report on allowances over a day, from the lines that programs wrote with --counts."
     arguments: ClassVar[list[Argument]] = [argument("logs", "Files of log lines.", multiple=True)]
-    options: ClassVar[list[Option]] = [option("out", "o", "Folder.", flag=False, default="found/proving")]
+    options: ClassVar[list[Option]] = [option("out", "o", "Folder.", flag=False, default="found/simulation")]
 
     def act(self) -> int:
         """Write the report; 1 if a view lies outside what was replied."""
-        from proving import allowance, allowance_report
+        from simulation import allowance, allowance_report
 
         lines: list[allowance.LogLine] = []
         for name in self.argument("logs"):
@@ -67,7 +67,7 @@
 
     def act(self) -> int:
         """Print both as markdown."""
-        from proving import comparison
+        from simulation import comparison
 
         found = comparison.pairs(self.argument("entries"), self.number("seeds") or 3, self.number("cores"))
         for line in comparison.tables(found):
@@ -84,7 +84,7 @@
 
     def act(self) -> int:
         """Print the table of tolerated losses."""
-        from proving import disk_loss_tolerance
+        from simulation import disk_loss_tolerance
 
         for line in disk_loss_tolerance.table(self.number("seeds") or 20, self.number("cores")):
             self.tell(line)
@@ -119,7 +119,7 @@
 
     def act(self) -> int:
         """Print the table of orders; 1 if there are none."""
-        from proving import orders
+        from simulation import orders
 
         with open(self.argument("file"), encoding="utf-8", errors="replace") as file:
             found = orders.orders(orders.read(file, bool(self.option("by-prefix"))))
--- a/simulation/commands/run.py
+++ b/simulation/commands/run.py
@@ -7,9 +7,9 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from proving import random_days
-from proving.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, ProvingCommand
-from proving.hunt import HuntResult
+from simulation import random_days
+from simulation.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, ProvingCommand
+from simulation.hunt import HuntResult
 
 
 class RunCommand(ProvingCommand):
@@ -22,9 +22,9 @@
 
     def act(self) -> int:
         """Simulate, check and print the day."""
-        from proving.checkers import check
-        from proving.measurements import measure
-        from proving.model.simulation_run import play
+        from simulation.checkers import check
+        from simulation.measurements import measure
+        from simulation.model.simulation_run import play
 
         day = self.day()
         record = play(day, self.number("seed"))
--- a/simulation/commands/sweep.py
+++ b/simulation/commands/sweep.py
@@ -10,8 +10,8 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from proving import spec
-from proving.commands.base import CORES, EXPERIMENT, SEEDS, ProvingCommand
+from simulation import spec
+from simulation.commands.base import CORES, EXPERIMENT, SEEDS, ProvingCommand
 
 
 class SweepCommand(ProvingCommand):
@@ -23,12 +23,12 @@
     options: ClassVar[list[Option]] = [
         SEEDS,
         CORES,
-        option("out", "o", "Folder.", flag=False, default="found/proving"),
+        option("out", "o", "Folder.", flag=False, default="found/simulation"),
     ]
 
     def act(self) -> int:
         """Run the sweep and write its table and report; 1 if a rule is violated."""
-        from proving import report, sweep
+        from simulation import report, sweep
 
         told, over = spec.load(self.argument("file"))
         if self.option("seeds"):
--- a/simulation/commands/transcript.py
+++ b/simulation/commands/transcript.py
@@ -8,8 +8,8 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from proving.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, ProvingCommand
-from proving.planes import PLANE_NAMES, check_names
+from simulation.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, ProvingCommand
+from simulation.planes import PLANE_NAMES, check_names
 
 
 class ShowCommand(ProvingCommand):
@@ -32,7 +32,7 @@
 
     def act(self) -> int:
         """Simulate the day and print the transcript."""
-        from proving.transcript import transcript
+        from simulation.transcript import transcript
 
         planes = [plane for plane in (self.option("planes") or "").split(",") if plane]
         check_names(planes)
--- a/simulation/comparison.py
+++ b/simulation/comparison.py
@@ -12,9 +12,9 @@
 
 import numpy as np
 
-from proving import standard_days
-from proving.hunt import on_all_cores
-from proving.sweep import Row
+from simulation import standard_days
+from simulation.hunt import on_all_cores
+from simulation.sweep import Row
 
 FIGURES = {
     "whole day": "worth_part",
--- a/simulation/disk_loss_tolerance.py
+++ b/simulation/disk_loss_tolerance.py
@@ -8,11 +8,11 @@
 from typing import NamedTuple
 
 from gateway.consensus.records import PersistentState
-from proving.hunt import on_all_cores
-from proving.model.deployment import Deployment
-from proving.model.processes import ControllerProcess
-from proving.model.simulation_run import Run
-from proving.spec import Day, Disruption, Spec
+from simulation.hunt import on_all_cores
+from simulation.model.deployment import Deployment
+from simulation.model.processes import ControllerProcess
+from simulation.model.simulation_run import Run
+from simulation.spec import Day, Disruption, Spec
 
 AT_S, FOR_S, BACK_S, ORDER_S = 10.0, 12.0, 1.5, 0.3
 CORES = {3: (1, 1, 1), 5: (2, 2, 1), 7: (3, 2, 2)}
--- a/simulation/hunt.py
+++ b/simulation/hunt.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Any, NamedTuple, TypeVar
 
-from proving import random_days
-from proving.checkers import RuleViolation, check
-from proving.model.simulation_run import play
-from proving.spec import Disruption, Spec
+from simulation import random_days
+from simulation.checkers import RuleViolation, check
+from simulation.model.simulation_run import play
+from simulation.spec import Disruption, Spec
 
 T = TypeVar("T")
 
@@ -49,7 +49,7 @@
             ["git", *words], capture_output=True, text=True, check=False, cwd=Path(__file__).parent.parent
         ).stdout.strip()
 
-    changed = git("status", "--porcelain", "--", "gateway", "roadspur", "proving")
+    changed = git("status", "--porcelain", "--", "gateway", "ingress", "simulation")
     return git("rev-parse", "--short", "HEAD") + ("+" if changed else "")
 
 
--- a/simulation/injected_bug_cases.py
+++ b/simulation/injected_bug_cases.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from proving.spec import Day, Disruption, Kind, Service, Spec
+from simulation.spec import Day, Disruption, Kind, Service, Spec
 
 KINDS = (
     Kind("read", "alpha", rate=16, work_s=0.12, aim_s=0.4),
--- a/simulation/loopback/driver.py
+++ b/simulation/loopback/driver.py
@@ -15,14 +15,14 @@
 
 import numpy as np
 
-from proving.loopback import http_clients
-from proving.loopback.local_cluster import LocalCluster, LocalMachine
-from proving.measurements import measure
-from proving.model.operators import HOST, OperatorPool, first_document, shares
-from proving.model.record import Answered, Order, Read, Record, Sent
-from proving.model.record import Disruption as RecordedDisruption
-from proving.model.simulation_run import play
-from proving.spec import Disruption, Kind, Spec
+from simulation.loopback import http_clients
+from simulation.loopback.local_cluster import LocalCluster, LocalMachine
+from simulation.measurements import measure
+from simulation.model.operators import HOST, OperatorPool, first_document, shares
+from simulation.model.record import Answered, Order, Read, Record, Sent
+from simulation.model.record import Disruption as RecordedDisruption
+from simulation.model.simulation_run import play
+from simulation.spec import Disruption, Kind, Spec
 
 PROMISES, FINAL = (429, 503, 408, 421), (400, 401, 404, 413, 431)
 START_S = 30.0  # for the first configuration to be taken, and for ingresses to be ready
--- a/simulation/loopback/local_cluster.py
+++ b/simulation/loopback/local_cluster.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from proving.spec import Service, Spec
+from simulation.spec import Service, Spec
 
 ROOT = Path(__file__).resolve().parents[2]
 STOP_S = 8.0  # for a process to end after SIGTERM
@@ -99,7 +99,7 @@
         environ = {**os.environ, "EIDERSTAGE_NODE_FILE": str(path), "PYTHONPATH": str(ROOT)}
         if self.recordings is not None:
             environ["PROVING_RECORDINGS"] = str(self.recordings)
-        module = "gateway" if self.recordings is None else "proving.recorded_program"
+        module = "gateway" if self.recordings is None else "simulation.recorded_program"
         log = open(self.folder / f"{machine.name}-{role}.log", "ab")
         with log:
             return subprocess.Popen(
--- a/simulation/measurements.py
+++ b/simulation/measurements.py
@@ -7,9 +7,9 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from proving.model.record import Record, Sent
-from proving.planes import byte_rate, message_rate
-from proving.spec import Kind, Spec
+from simulation.model.record import Record, Sent
+from simulation.planes import byte_rate, message_rate
+from simulation.spec import Kind, Spec
 
 MOST_MS = 120_000  # upper bound of the latency histogram
 LAST_S = 2.0  # end of a day, of which requests may still be in flight
--- a/simulation/model/backends.py
+++ b/simulation/model/backends.py
@@ -10,13 +10,13 @@
 from typing import Any, Protocol
 
 from gateway.state_machine import Address
-from proving.model.network import Location
-from proving.model.payloads import body_of, seal
-from proving.model.record import Arrived, BackendEvent, Record
-from proving.model.simulator import Simulator
-from proving.model.tcp import TcpEndpoint
-from proving.spec import Service, Spec
-from roadspur.net.http_messages import Response
+from ingress.net.http_messages import Response
+from simulation.model.network import Location
+from simulation.model.payloads import body_of, seal
+from simulation.model.record import Arrived, BackendEvent, Record
+from simulation.model.simulator import Simulator
+from simulation.model.tcp import TcpEndpoint
+from simulation.spec import Service, Spec
 
 LEAVE_S = 4.0  # to get an acknowledgement before it ends all the same
 Done = Callable[[Response | None], Any]
--- a/simulation/model/client_attempts.py
+++ b/simulation/model/client_attempts.py
@@ -5,16 +5,16 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-from proving.model.client_requests import Request
-from proving.model.machines import Machine
-from proving.model.network import Location, Network
-from proving.model.payloads import body_of, seal
-from proving.model.processes import ProxyProcess
-from proving.model.record import Record
-from proving.model.simulator import Simulator
-from proving.model.tcp import TcpEndpoint, connect
-from proving.spec import Spec
-from roadspur.net.http_messages import ResponseReader
+from ingress.net.http_messages import ResponseReader
+from simulation.model.client_requests import Request
+from simulation.model.machines import Machine
+from simulation.model.network import Location, Network
+from simulation.model.payloads import body_of, seal
+from simulation.model.processes import ProxyProcess
+from simulation.model.record import Record
+from simulation.model.simulator import Simulator
+from simulation.model.tcp import TcpEndpoint, connect
+from simulation.spec import Spec
 
 CONNECT_S = 1.0
 
--- a/simulation/model/client_load.py
+++ b/simulation/model/client_load.py
@@ -4,14 +4,14 @@
 
 import numpy as np
 
-from proving.model.client_attempts import ClientAttempt, SimulatedClientConnection
-from proving.model.client_requests import Request
-from proving.model.deployment import Deployment
-from proving.model.machines import Machine
-from proving.model.network import Location
-from proving.model.operators import Document, OperatorPool, keys_of, routes_of, shares
-from proving.model.record import Answered, Sent
-from proving.spec import Kind
+from simulation.model.client_attempts import ClientAttempt, SimulatedClientConnection
+from simulation.model.client_requests import Request
+from simulation.model.deployment import Deployment
+from simulation.model.machines import Machine
+from simulation.model.network import Location
+from simulation.model.operators import Document, OperatorPool, keys_of, routes_of, shares
+from simulation.model.record import Answered, Sent
+from simulation.spec import Kind
 
 PROMISES = (429, 503, 408, 421)
 FINAL = (400, 401, 404, 413, 431)
--- a/simulation/model/client_requests.py
+++ b/simulation/model/client_requests.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from proving.model.operators import HOST
-from proving.spec import Kind
+from simulation.model.operators import HOST
+from simulation.spec import Kind
 
 
 class Request:
--- a/simulation/model/deployment.py
+++ b/simulation/model/deployment.py
@@ -10,14 +10,14 @@
 from gateway.runtime.http_listener import HttpCall
 from gateway.runtime.settings import Settings
 from gateway.state_machine import Address
-from proving import spec as specs
-from proving.model.backends import Backend
-from proving.model.machines import Machine
-from proving.model.network import LinkProfile, Location, Network
-from proving.model.processes import ControllerProcess, Program, ProxyProcess
-from proving.model.record import Record
-from proving.model.simulator import Simulator
-from proving.recording import Recording
+from simulation import spec as specs
+from simulation.model.backends import Backend
+from simulation.model.machines import Machine
+from simulation.model.network import LinkProfile, Location, Network
+from simulation.model.processes import ControllerProcess, Program, ProxyProcess
+from simulation.model.record import Record
+from simulation.model.simulator import Simulator
+from simulation.recording import Recording
 
 FRONT, READY, FIRST, LAST = 8405, 8406, 7660, 7675
 MISSES = 2  # of the platform's calls, after which an ingress gets no new connections
--- a/simulation/model/disk.py
+++ b/simulation/model/disk.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from gateway.consensus.records import PersistentState
-from proving.model.simulator import Process
+from simulation.model.simulator import Process
 
 
 class Disk:
--- a/simulation/model/disruptions/__init__.py
+++ b/simulation/model/disruptions/__init__.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from proving.model.disruptions.link_disruptions import LinkDisruptions
-from proving.model.disruptions.machine_disruptions import MachineDisruptions
-from proving.model.disruptions.operators_and_backends import OperatorAndBackendDisruptions
+from simulation.model.disruptions.link_disruptions import LinkDisruptions
+from simulation.model.disruptions.machine_disruptions import MachineDisruptions
+from simulation.model.disruptions.operators_and_backends import OperatorAndBackendDisruptions
 
 
 class DisruptionSchedule(MachineDisruptions, LinkDisruptions, OperatorAndBackendDisruptions):
--- a/simulation/model/disruptions/link_disruptions.py
+++ b/simulation/model/disruptions/link_disruptions.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
-from proving.model.disruptions.schedule import DisruptionBase
-from proving.spec import Disruption
+from simulation.model.disruptions.schedule import DisruptionBase
+from simulation.spec import Disruption
 
 
 class LinkDisruptions(DisruptionBase):
--- a/simulation/model/disruptions/machine_disruptions.py
+++ b/simulation/model/disruptions/machine_disruptions.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Sequence
 
-from proving.model.disruptions.schedule import DisruptionBase
-from proving.model.machines import RESTART_S, START_S, Machine
-from proving.model.record import Order
-from proving.spec import Disruption
+from simulation.model.disruptions.schedule import DisruptionBase
+from simulation.model.machines import RESTART_S, START_S, Machine
+from simulation.model.record import Order
+from simulation.spec import Disruption
 
 
 class MachineDisruptions(DisruptionBase):
--- a/simulation/model/disruptions/operators_and_backends.py
+++ b/simulation/model/disruptions/operators_and_backends.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from proving.model.disruptions.schedule import DisruptionBase
-from proving.spec import Disruption
+from simulation.model.disruptions.schedule import DisruptionBase
+from simulation.spec import Disruption
 
 CROWD_EVERY_S = 0.4
 UNDER_WAY = 8  # orders at most
--- a/simulation/model/disruptions/schedule.py
+++ b/simulation/model/disruptions/schedule.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from proving.model.client_load import ClientLoad
-from proving.model.deployment import Deployment
-from proving.model.machines import Machine
-from proving.model.operators import OperatorPool
-from proving.model.record import Disruption as RecordedDisruption
-from proving.model.record import Order
-from proving.spec import Disruption
+from simulation.model.client_load import ClientLoad
+from simulation.model.deployment import Deployment
+from simulation.model.machines import Machine
+from simulation.model.operators import OperatorPool
+from simulation.model.record import Disruption as RecordedDisruption
+from simulation.model.record import Order
+from simulation.spec import Disruption
 
 
 class DisruptionBase:
--- a/simulation/model/injected_bugs.py
+++ b/simulation/model/injected_bugs.py
@@ -12,10 +12,10 @@
 from gateway.config.orders import ConfigState
 from gateway.config.routing import Route
 from gateway.consensus import api as consensus
-from proving.model.deployment import Deployment
-from proving.model.processes import ControllerProcess, Program, ProxyProcess
-from roadspur import interface as io
-from roadspur.net.connection_interfaces import ImmediateResponse
+from ingress import interface as io
+from ingress.net.connection_interfaces import ImmediateResponse
+from simulation.model.deployment import Deployment
+from simulation.model.processes import ControllerProcess, Program, ProxyProcess
 
 
 def _stale(process: ProxyProcess) -> None:
--- a/simulation/model/machines.py
+++ b/simulation/model/machines.py
@@ -7,11 +7,11 @@
 
 from gateway.runtime.settings import Settings
 from gateway.state_machine import Address
-from proving.model.disk import Disk
-from proving.model.network import Location, Network
-from proving.model.processes import ControllerProcess, ProcessEnvironment, Program, ProxyProcess
-from proving.model.simulator import Simulator
-from proving.spec import Spec
+from simulation.model.disk import Disk
+from simulation.model.network import Location, Network
+from simulation.model.processes import ControllerProcess, ProcessEnvironment, Program, ProxyProcess
+from simulation.model.simulator import Simulator
+from simulation.spec import Spec
 
 CONTROL = 8407  # the port at which `control` is served
 RESTART_S = 0.8  # until the platform has started again what has ended
--- a/simulation/model/network.py
+++ b/simulation/model/network.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from proving.model.simulator import Simulator
+from simulation.model.simulator import Simulator
 
 DATAGRAM_BYTES = 1150  # longer messages go over a connection, which loses none
 RESEND_S = 0.2  # until a connection sends once more what was lost
--- a/simulation/model/operators.py
+++ b/simulation/model/operators.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from proving.model.deployment import Deployment
-from proving.model.network import Location
-from proving.model.record import Order, Read, Repeat
+from simulation.model.deployment import Deployment
+from simulation.model.network import Location
+from simulation.model.record import Order, Read, Repeat
 
 HOST = "gate.example"
 Document = dict[str, Any]
--- a/simulation/model/processes.py
+++ b/simulation/model/processes.py
@@ -17,14 +17,14 @@
 from gateway.runtime.http_listener import HttpCall
 from gateway.runtime.settings import Settings
 from gateway.state_machine import Address
-from proving.model.disk import Disk
-from proving.model.network import Location, Network
-from proving.model.proxy_sockets import ConnectionEnvironment, SimulatedServer, Upstream
-from proving.model.record import Record
-from proving.model.simulator import Process, Simulator
-from proving.planes import PLANE_NAMES
-from proving.recording import Recording, RecordingHeader
-from roadspur.net.connection_interfaces import Limits
+from ingress.net.connection_interfaces import Limits
+from simulation.model.disk import Disk
+from simulation.model.network import Location, Network
+from simulation.model.proxy_sockets import ConnectionEnvironment, SimulatedServer, Upstream
+from simulation.model.record import Record
+from simulation.model.simulator import Process, Simulator
+from simulation.planes import PLANE_NAMES
+from simulation.recording import Recording, RecordingHeader
 
 CONTROLLER_TICK_S, PROXY_TICK_S = 0.025, 0.05
 TICK = membership.Tick()
--- a/simulation/model/proxy_sockets.py
+++ b/simulation/model/proxy_sockets.py
@@ -8,13 +8,13 @@
 from typing import Any, Protocol, cast
 
 from gateway.state_machine import Address
-from proving.model.network import Location, Network
-from proving.model.simulator import Process
-from proving.model.tcp import TcpEndpoint, connect
-from roadspur.net import upstream as real
-from roadspur.net.client import ClientConnection
-from roadspur.net.server import Server
-from roadspur.net.upstream import Pool
+from ingress.net import upstream as real
+from ingress.net.client import ClientConnection
+from ingress.net.server import Server
+from ingress.net.upstream import Pool
+from simulation.model.network import Location, Network
+from simulation.model.simulator import Process
+from simulation.model.tcp import TcpEndpoint, connect
 
 
 class ConnectionListener(Protocol):
--- a/simulation/model/simulation_run.py
+++ b/simulation/model/simulation_run.py
@@ -5,15 +5,15 @@
 import logging
 from time import perf_counter, process_time
 
-from proving.model import injected_bugs
-from proving.model.client_load import ClientLoad
-from proving.model.deployment import Deployment
-from proving.model.disruptions import DisruptionSchedule
-from proving.model.operators import OperatorPool
-from proving.model.processes import ControllerProcess, ProxyProcess
-from proving.model.record import Record
-from proving.model.simulator import Simulator
-from proving.spec import Disruption, Spec
+from simulation.model import injected_bugs
+from simulation.model.client_load import ClientLoad
+from simulation.model.deployment import Deployment
+from simulation.model.disruptions import DisruptionSchedule
+from simulation.model.operators import OperatorPool
+from simulation.model.processes import ControllerProcess, ProxyProcess
+from simulation.model.record import Record
+from simulation.model.simulator import Simulator
+from simulation.spec import Disruption, Spec
 
 READ_EVERY_S = 0.4  # the operator's reading back, at the end
 MOST_FAULTS = 200
@@ -27,7 +27,7 @@
         self.simulator, self.record = simulator, record
 
     def emit(self, entry: logging.LogRecord) -> None:
-        if len(self.record.faults) < MOST_FAULTS and entry.name.partition(".")[0] in ("gateway", "roadspur"):
+        if len(self.record.faults) < MOST_FAULTS and entry.name.partition(".")[0] in ("gateway", "ingress"):
             why = f": {entry.exc_info[1]!r}" if entry.exc_info else ""
             self.record.faults.append(
                 f"{self.simulator.now:.3f} {entry.name}: {entry.getMessage()[:300]}{why}"
--- a/simulation/model/tcp.py
+++ b/simulation/model/tcp.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from proving.model.network import RESEND_S, Location, Network
-from proving.model.simulator import Process
+from simulation.model.network import RESEND_S, Location, Network
+from simulation.model.simulator import Process
 
 
 class StreamProtocol(Protocol):
--- a/simulation/orders.py
+++ b/simulation/orders.py
@@ -12,7 +12,7 @@
 from statistics import median
 from typing import Any, NamedTuple
 
-from proving.log_lines import objects
+from simulation.log_lines import objects
 
 LOGGER = "gateway.config_events"
 NUMBER = re.compile(r"\d+(?:\.\d+)?")
--- a/simulation/planner.py
+++ b/simulation/planner.py
@@ -8,11 +8,11 @@
 
 import numpy as np
 
-from proving import sweep
-from proving.hunt import on_all_cores
-from proving.measurements import felt
-from proving.planes import PLANE_NAMES, byte_rate, message_rate
-from proving.spec import Disruption, Service, Spec
+from simulation import sweep
+from simulation.hunt import on_all_cores
+from simulation.measurements import felt
+from simulation.planes import PLANE_NAMES, byte_rate, message_rate
+from simulation.spec import Disruption, Service, Spec
 
 FIGURES = (
     ("served_part", "of the requests wanted are served"),
--- a/simulation/random_days.py
+++ b/simulation/random_days.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import replace
 
-from proving.spec import Disruption, Spec
+from simulation.spec import Disruption, Spec
 
 CORE = (
     "core_kill",
--- a/simulation/recorded_program.py
+++ b/simulation/recorded_program.py
@@ -1,6 +1,6 @@
 """Runs a program of the system with a recording, which is written to the folder $PROVING_RECORDINGS on exit.
 
-    python -m proving.recorded_program proxy|controller
+    python -m simulation.recorded_program proxy|controller
 
 The program is unchanged; only its state machines' inputs and outputs are recorded, at some cost in time.
 """
@@ -17,7 +17,7 @@
 from gateway.programs import controller, proxy
 from gateway.programs.controller_node import ControllerNode
 from gateway.programs.proxy_node import ProxyNode
-from proving.recording import Recording, RecordingHeader
+from simulation.recording import Recording, RecordingHeader
 
 FOLDER = "PROVING_RECORDINGS"
 RECORDINGS: list[Recording] = []
--- a/simulation/report.py
+++ b/simulation/report.py
@@ -12,9 +12,9 @@
 import matplotlib
 import numpy as np
 
-from proving.planes import PLANE_NAMES, message_rate
-from proving.spec import Spec
-from proving.sweep import Row, Summary, summaries
+from simulation.planes import PLANE_NAMES, message_rate
+from simulation.spec import Spec
+from simulation.sweep import Row, Summary, summaries
 
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt  # noqa: E402
--- a/simulation/standard_days.py
+++ b/simulation/standard_days.py
@@ -12,10 +12,10 @@
 
 import numpy as np
 
-from proving import spec as specs
-from proving import sweep
-from proving.hunt import on_all_cores
-from proving.spec import Disruption, Spec
+from simulation import spec as specs
+from simulation import sweep
+from simulation.hunt import on_all_cores
+from simulation.spec import Disruption, Spec
 
 SITES = Path(__file__).parent / "sites"
 LOAD = {"quiet": 0.5, "trouble": 0.5, "scale": 0.6}
--- a/simulation/sweep.py
+++ b/simulation/sweep.py
@@ -11,11 +11,11 @@
 import numpy as np
 from tqdm import tqdm
 
-from proving.checkers import check
-from proving.hunt import on_all_cores
-from proving.measurements import SecondCounts, measure, seconds
-from proving.model.simulation_run import play
-from proving.spec import Spec, Sweep, change
+from simulation.checkers import check
+from simulation.hunt import on_all_cores
+from simulation.measurements import SecondCounts, measure, seconds
+from simulation.model.simulation_run import play
+from simulation.spec import Spec, Sweep, change
 
 
 class Row(NamedTuple):
--- a/simulation/transcript.py
+++ b/simulation/transcript.py
@@ -7,11 +7,11 @@
 
 from gateway.consensus.consensus_pb2 import Kind
 from gateway.programs.startup import CONSENSUS
-from proving.model.network import Location
-from proving.model.record import Record
-from proving.model.simulation_run import Run
-from proving.planes import PLANE_NAMES
-from proving.spec import Spec
+from simulation.model.network import Location
+from simulation.model.record import Record
+from simulation.model.simulation_run import Run
+from simulation.planes import PLANE_NAMES
+from simulation.spec import Spec
 
 LONGEST = 60  # characters shown of a field's value
 HIDDEN = ("value", "packed", "digest", "newest_digest")  # fields of which only the length is shown
--- a/tests/gateway/cli/test_operator_commands.py
+++ b/tests/gateway/cli/test_operator_commands.py
@@ -15,7 +15,7 @@
 from gateway.membership.controller import ControllerMembership
 from gateway.membership.messages import Heartbeat, SetCore
 from gateway.programs import status_report
-from tests.system.consensus_cluster import ConsensusCluster, finish
+from tests.gateway.consensus.consensus_cluster import ConsensusCluster, finish
 
 A, B, C = "10.1.0.1:8407", "10.2.0.2:8407", "10.3.0.3:8407"
 OK = Answer(200, "", b'{"generation":7}')
--- a/tests/gateway/consensus/catch_up.py
+++ b/tests/gateway/consensus/catch_up.py
@@ -1,6 +1,6 @@
 """How long and with how many bytes one that was away catches up, after 0, 500 and 5,000 changes.
 
-python -m tests.system.catch_up
+python -m tests.gateway.consensus.catch_up
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from gateway.consensus import consensus_pb2 as pb
 from gateway.consensus.storage import Store
 from gateway.state_machine import Send
-from tests.system.consensus_cluster import ConsensusCluster, Node, finish
-from tests.system.test_change_log import SOURCE, TICK_S, FollowerNetwork
-from tests.system.test_consensus_storage import record
+from tests.gateway.consensus.consensus_cluster import ConsensusCluster, Node, finish
+from tests.gateway.consensus.test_storage import record
+from tests.gateway.membership.test_change_log import SOURCE, TICK_S, FollowerNetwork
 
 CHANGES = (0, 500, 5000)
 SEEDS = 5
--- a/tests/gateway/consensus/test_leaving.py
+++ b/tests/gateway/consensus/test_leaving.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gateway.consensus import api
-from tests.system.consensus_cluster import ConsensusCluster, Node, finish
+from tests.gateway.consensus.consensus_cluster import ConsensusCluster, Node, finish
 
 LONGEST_GAP_S = 0.9  # without a has_leader_lease leader: an election by members that leave, which stand late
 
--- a/tests/gateway/consensus/test_power_loss.py
+++ b/tests/gateway/consensus/test_power_loss.py
@@ -11,7 +11,7 @@
 import pytest
 
 from gateway.consensus.storage import Store
-from tests.system.test_consensus_storage import record
+from tests.gateway.consensus.test_storage import record
 
 
 class PowerLostError(BaseException):
--- a/tests/gateway/consensus/test_raft.py
+++ b/tests/gateway/consensus/test_raft.py
@@ -23,7 +23,14 @@
 from gateway.consensus.timing import Timing
 from gateway.consensus.voter import Voter
 from gateway.state_machine import Send
-from tests.system.consensus_cluster import ConsensusCluster, InvariantViolation, Node, explore, finish, tell
+from tests.gateway.consensus.consensus_cluster import (
+    ConsensusCluster,
+    InvariantViolation,
+    Node,
+    explore,
+    finish,
+    tell,
+)
 
 STEADY = api.Tuning(heartbeat_interval_s=0.1, election_min_s=0.45, election_max_s=0.9)
 
--- a/tests/gateway/consensus/test_reconfiguration.py
+++ b/tests/gateway/consensus/test_reconfiguration.py
@@ -11,8 +11,8 @@
 from gateway.consensus.leader import LeaderRole
 from gateway.consensus.raft import RaftNode
 from gateway.consensus.records import Entry, LogPosition, Member
-from tests.system.consensus_cluster import ConsensusCluster, InvariantViolation, Node, finish
-from tests.system.test_consensus import STEADY, named, outcome, settled
+from tests.gateway.consensus.consensus_cluster import ConsensusCluster, InvariantViolation, Node, finish
+from tests.gateway.consensus.test_raft import STEADY, named, outcome, settled
 
 
 class CountsAtOnce(LeaderRole):
--- a/tests/gateway/consensus/test_slow_links.py
+++ b/tests/gateway/consensus/test_slow_links.py
@@ -13,7 +13,7 @@
 from gateway.consensus.raft import RaftNode
 from gateway.consensus.replica import Replica
 from gateway.consensus.timing import Timing
-from tests.system.consensus_cluster import ConsensusCluster, InvariantViolation, Node, finish
+from tests.gateway.consensus.consensus_cluster import ConsensusCluster, InvariantViolation, Node, finish
 
 WAYS_S = (0.001, 0.035, 0.15, 0.3)
 SPREAD = 1.1  # of a link's delay
--- a/tests/gateway/drift/drift_network.py
+++ b/tests/gateway/drift/drift_network.py
@@ -16,7 +16,7 @@
 from gateway.programs.startup import MEMBERSHIP
 from gateway.runtime import settings as files
 from gateway.state_machine import Send
-from roadspur.net.connection_interfaces import USUAL
+from ingress.net.connection_interfaces import USUAL
 
 TICK_S = 0.05
 CONTROLLER_ADDRESSES = [f"10.{zone}.0.1:7661" for zone in (1, 2, 3)]
--- a/tests/gateway/drift/test_drift.py
+++ b/tests/gateway/drift/test_drift.py
@@ -15,7 +15,7 @@
 from gateway.programs.quota_report import HolderReport
 from gateway.quota.shard_owner import ShardOwner
 from gateway.runtime.http_listener import HttpCall
-from tests.system.drift import CONTROLLER_ADDRESSES, FleetNetwork, config, route, taken
+from tests.gateway.drift.drift_network import CONTROLLER_ADDRESSES, FleetNetwork, config, route, taken
 
 MANY = taken(config(more=[route(f"m{n}") for n in range(300)]))
 
--- a/tests/gateway/drift/test_drift_fleet.py
+++ b/tests/gateway/drift/test_drift_fleet.py
@@ -4,7 +4,13 @@
 
 from gateway.config.orders import decide
 from gateway.membership import messages as m
-from tests.system.drift import CONTROLLER_ADDRESSES, FleetNetwork, SimulatedController, config, taken
+from tests.gateway.drift.drift_network import (
+    CONTROLLER_ADDRESSES,
+    FleetNetwork,
+    SimulatedController,
+    config,
+    taken,
+)
 
 APPLY_S = 2.5
 FIRST = taken(config())
--- a/tests/gateway/membership/test_backend_removal.py
+++ b/tests/gateway/membership/test_backend_removal.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gateway.membership import messages as m
-from tests.system.membership_net import CONTROLLER_ADDRESSES, system
+from tests.gateway.membership.membership_network import CONTROLLER_ADDRESSES, system
 
 P1, P2, P3 = CONTROLLER_ADDRESSES
 LATE_S = [0.0, 0.5, 2.5, 8.0, 20.0]  # of beats, after the end is acknowledged
--- a/tests/gateway/membership/test_heartbeat_target.py
+++ b/tests/gateway/membership/test_heartbeat_target.py
@@ -9,7 +9,7 @@
 from gateway.membership.controller import ControllerMembership
 from gateway.membership.heartbeat_target import OUT_OF_CONTACT_S, SUGGEST_AGAIN_S
 from gateway.membership.proxy import ProxyMembership
-from tests.system.membership_net import CONTROLLER_ADDRESSES, MembershipNetwork, system
+from tests.gateway.membership.membership_network import CONTROLLER_ADDRESSES, MembershipNetwork, system
 
 P1, P2, P3 = CONTROLLER_ADDRESSES
 ZONES = {"kgn-a": 1, "kgn-b": 2, "kgn-c": 3}
--- a/tests/gateway/membership/test_membership.py
+++ b/tests/gateway/membership/test_membership.py
@@ -8,7 +8,7 @@
 from gateway.membership.change_log import ChangeLog
 from gateway.membership.log_follower import LogFollower
 from gateway.state_machine import Send
-from tests.system.membership_net import CONTROLLER_ADDRESSES, system
+from tests.gateway.membership.membership_network import CONTROLLER_ADDRESSES, system
 
 P1, P2, P3 = CONTROLLER_ADDRESSES
 
--- a/tests/gateway/membership/test_random_faults.py
+++ b/tests/gateway/membership/test_random_faults.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gateway.membership import messages as m
-from tests.system.membership_net import CONTROLLER_ADDRESSES, system
+from tests.gateway.membership.membership_network import CONTROLLER_ADDRESSES, system
 
 HEARTBEAT_S = 1.3
 
--- a/tests/gateway/programs/controller_cluster.py
+++ b/tests/gateway/programs/controller_cluster.py
@@ -14,7 +14,12 @@
 from gateway.consensus import api
 from gateway.programs.control_api import CONFIG, Control
 from gateway.runtime.http_listener import HttpCall
-from tests.system.consensus_cluster import ConsensusCluster, FaultInjector, InvariantViolation, Node
+from tests.gateway.consensus.consensus_cluster import (
+    ConsensusCluster,
+    FaultInjector,
+    InvariantViolation,
+    Node,
+)
 
 SILENCE_S = 1.0  # that a caller bears
 UNDER_WAY = 8  # orders at most
--- a/tests/gateway/programs/test_control_api.py
+++ b/tests/gateway/programs/test_control_api.py
@@ -16,8 +16,8 @@
 from gateway.programs.control_api import MAX_PENDING_ORDERS, ORDER_PATIENCE_S, Control
 from gateway.runtime import http_listener as http_listener_module
 from gateway.runtime.http_listener import EMPTY_REQUEST, HttpCall, HttpCallHandler, HttpListener
-from roadspur.net.http_messages import ClientRequest
-from tests.socket_rig import HOST, Client, run, until
+from ingress.net.http_messages import ClientRequest
+from tests.ingress.socket_rig import HOST, Client, run, until
 
 CONFIG = "/-/config"
 
--- a/tests/gateway/programs/test_control_connections.py
+++ b/tests/gateway/programs/test_control_connections.py
@@ -13,10 +13,10 @@
 from gateway.config.orders import ConfigState
 from gateway.programs.control_api import CONFIG, PROPOSAL_TIMEOUT_S, Control
 from gateway.runtime.http_listener import HttpCall, HttpListener, Reply
-from proving.model.proxy_sockets import SimulatedServerConnection
-from proving.model.simulator import Process, Simulator
-from tests.system.calls import SimulatedClient, parse
-from tests.system.test_control import config
+from simulation.model.proxy_sockets import SimulatedServerConnection
+from simulation.model.simulator import Process, Simulator
+from tests.gateway.programs.test_control_api import config
+from tests.gateway.proxy.call_simulation import SimulatedClient, parse
 
 BEAT = {"target": "s1", "address": "10.128.0.9:8080", "zone": "z", "phase": "draining", "call-seq": 4}
 N = st.integers(0, 1 << 16)
--- a/tests/gateway/programs/test_first_start.py
+++ b/tests/gateway/programs/test_first_start.py
@@ -10,8 +10,8 @@
 
 from gateway.membership import messages as m
 from gateway.membership import wire
-from tests.system.consensus_cluster import ConsensusCluster, Node, finish
-from tests.system.drift import (
+from tests.gateway.consensus.consensus_cluster import ConsensusCluster, Node, finish
+from tests.gateway.drift.drift_network import (
     CONTROLLER_ADDRESSES,
     FleetNetwork,
     SimulatedController,
--- a/tests/gateway/programs/test_order_retries.py
+++ b/tests/gateway/programs/test_order_retries.py
@@ -9,8 +9,8 @@
 from gateway.config import orders
 from gateway.config.orders import ConfigState, without_order_history
 from gateway.consensus import api
-from tests.system.consensus_cluster import InvariantViolation
-from tests.system.controllers import ControllerCluster, SimulatedController, explore
+from tests.gateway.consensus.consensus_cluster import InvariantViolation
+from tests.gateway.programs.controller_cluster import ControllerCluster, SimulatedController, explore
 
 ENOUGH = 60  # seeds within which a planted fault must be found
 
--- a/tests/gateway/programs/test_partition.py
+++ b/tests/gateway/programs/test_partition.py
@@ -2,7 +2,7 @@
 
 from gateway.membership import messages as m
 from gateway.membership import wire
-from tests.system.drift import (
+from tests.gateway.drift.drift_network import (
     CONTROLLER_ADDRESSES,
     FleetNetwork,
     SimulatedController,
--- a/tests/gateway/programs/test_programs.py
+++ b/tests/gateway/programs/test_programs.py
@@ -14,7 +14,7 @@
 
 from gateway.cli import commands, control_client
 
-EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
+EXAMPLES = Path(__file__).resolve().parents[3] / "examples"
 
 
 def test_the_example_serves_a_request_and_ends_in_order() -> None:
--- a/tests/gateway/programs/test_proxy_readiness.py
+++ b/tests/gateway/programs/test_proxy_readiness.py
@@ -6,8 +6,14 @@
 
 from gateway.membership import messages as m
 from gateway.programs.proxy import ProxyServer as Program
-from roadspur.net.connection_interfaces import ImmediateResponse
-from tests.system.drift import CONTROLLER_ADDRESSES, FleetNetwork, SimulatedProxy, config, taken
+from ingress.net.connection_interfaces import ImmediateResponse
+from tests.gateway.drift.drift_network import (
+    CONTROLLER_ADDRESSES,
+    FleetNetwork,
+    SimulatedProxy,
+    config,
+    taken,
+)
 
 LIMITS = {
     "entry-kind": "limits",
--- a/tests/gateway/proxy/call_simulation.py
+++ b/tests/gateway/proxy/call_simulation.py
@@ -23,11 +23,11 @@
 from gateway.proxy.ingress import ProxyIngress
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.quota.quota_client import QuotaClient
-from proving.model.proxy_sockets import SimulatedServer, SimulatedServerConnection
-from proving.model.simulator import Process, Simulator
-from roadspur import interface as io
-from roadspur.net import upstream as real
-from tests.system.proxy import entry, route
+from ingress import interface as io
+from ingress.net import upstream as real
+from simulation.model.proxy_sockets import SimulatedServer, SimulatedServerConnection
+from simulation.model.simulator import Process, Simulator
+from tests.gateway.proxy.proxy_fixture import entry, route
 
 CONNECT_S, IDLE_S = 2.0, 10.0
 PATIENCE_S = 4.0  # of clients
--- a/tests/gateway/proxy/proxy_fixture.py
+++ b/tests/gateway/proxy/proxy_fixture.py
@@ -21,10 +21,10 @@
 from gateway.quota.interface import SHARDS, Allowances, Code, Received, ShardMap
 from gateway.quota.quota_client import QuotaClient
 from gateway.state_machine import Send
-from roadspur import interface as io
-from roadspur.net.server import Server
-from roadspur.net.upstream import Upstream
-from tests.socket_rig import HOST, Client, Peer, Seen
+from ingress import interface as io
+from ingress.net.server import Server
+from ingress.net.upstream import Upstream
+from tests.ingress.socket_rig import HOST, Client, Peer, Seen
 
 HOLDER = "10.0.0.1:7661"
 ANY_NUMBER = re.compile(r"((?:deadline-ms|retry-after): )[0-9.]+")  # what hangs on the clock or on chance
--- a/tests/gateway/proxy/test_backend_status.py
+++ b/tests/gateway/proxy/test_backend_status.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.socket_rig import run, until
-from tests.system.proxy import ProxyFixture, answer, asked, reset
+from tests.gateway.proxy.proxy_fixture import ProxyFixture, answer, asked, reset
+from tests.ingress.socket_rig import run, until
 
 EARLIER_MS = 60  # between the first send of a request and its second one
 
--- a/tests/gateway/proxy/test_calls.py
+++ b/tests/gateway/proxy/test_calls.py
@@ -14,8 +14,8 @@
 from hypothesis import strategies as st
 
 from gateway.proxy.execution_status import ExecutionStatus
-from proving.model import injected_bugs
-from tests.system.calls import (
+from simulation.model import injected_bugs
+from tests.gateway.proxy.call_simulation import (
     PATIENCE_S,
     ArrivedRequest,
     Ask,
--- a/tests/gateway/proxy/test_client_gone.py
+++ b/tests/gateway/proxy/test_client_gone.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from roadspur import interface as io
-from tests.socket_rig import HOST, Client, run, until
-from tests.system.proxy import ProxyFixture, answer, asked, silent
-from tests.system.test_proxy_ends import RESET
+from ingress import interface as io
+from tests.gateway.proxy.proxy_fixture import ProxyFixture, answer, asked, silent
+from tests.gateway.proxy.test_message_ends import RESET
+from tests.ingress.socket_rig import HOST, Client, run, until
 
 LARGE_BODY = 8 * 1024 * 1024  # more than all socket buffers on the way hold
 PIPELINED = 40  # more than are read ahead
--- a/tests/gateway/proxy/test_message_ends.py
+++ b/tests/gateway/proxy/test_message_ends.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from roadspur import interface as io
-from tests.socket_rig import HOST, Client, Seen, run, until
-from tests.system.proxy import Act, ProxyFixture, answer, asked
+from ingress import interface as io
+from tests.gateway.proxy.proxy_fixture import Act, ProxyFixture, answer, asked
+from tests.ingress.socket_rig import HOST, Client, Seen, run, until
 
 LARGE = bytes(range(256)) * 1024  # more than is held whole
 RESET = struct.pack("ii", 1, 0)  # of SO_LINGER
--- a/tests/gateway/proxy/test_precedence.py
+++ b/tests/gateway/proxy/test_precedence.py
@@ -7,9 +7,9 @@
 
 from gateway.proxy.decisions import RequestContext
 from gateway.proxy.ingress import ProxyIngress
-from roadspur import interface as io
-from tests.system.test_proxy_start import flight
-from tests.system.test_proxy_start import service as backends_of
+from ingress import interface as io
+from tests.gateway.proxy.test_proxy_startup import flight
+from tests.gateway.proxy.test_proxy_startup import service as backends_of
 
 CLASS = io.ClassSettings("read", io.Effect.SAFE, 5.0, 5.0)
 
--- a/tests/gateway/proxy/test_proxy.py
+++ b/tests/gateway/proxy/test_proxy.py
@@ -13,9 +13,9 @@
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.quota import quota_pb2 as pb
 from gateway.quota.interface import Code, Received
-from roadspur import interface as io
-from tests.socket_rig import HOST, Client, run, until
-from tests.system.proxy import HOLDER, Act, ProxyFixture, answer, asked, full, reset, silent
+from ingress import interface as io
+from tests.gateway.proxy.proxy_fixture import HOLDER, Act, ProxyFixture, answer, asked, full, reset, silent
+from tests.ingress.socket_rig import HOST, Client, run, until
 
 OVER = pb.Verdict(code=Code.OVER, wait_ms=700)
 
--- a/tests/gateway/proxy/test_proxy_startup.py
+++ b/tests/gateway/proxy/test_proxy_startup.py
@@ -14,9 +14,9 @@
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.proxy.service import Service
 from gateway.quota.interface import OVER_ALLOWANCE
-from roadspur import interface as io
-from roadspur.customer import Customer
-from roadspur.flight import ActiveRequest
+from ingress import interface as io
+from ingress.customer import Customer
+from ingress.flight import ActiveRequest
 
 INGRESSES, BACKENDS = 4, 12
 
--- a/tests/gateway/proxy/test_retry_budget.py
+++ b/tests/gateway/proxy/test_retry_budget.py
@@ -8,7 +8,7 @@
 from gateway.proxy.decisions import Backends, Decisions, ProxyPeers
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.quota.quota_client import QuotaClient
-from roadspur import interface as io
+from ingress import interface as io
 
 
 def test_a_service_met_after_a_loss_of_all_has_no_larger_part_of_the_slack() -> None:
--- a/tests/gateway/proxy/test_silent_backend.py
+++ b/tests/gateway/proxy/test_silent_backend.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net import upstream
-from tests.socket_rig import Client, run, until
-from tests.system.proxy import ProxyFixture, answer, asked
-from tests.system.test_proxy_ends import LARGE, head, read
-from tests.system.test_proxy_start import flight, service
+from ingress import interface as io
+from ingress.net import upstream
+from tests.gateway.proxy.proxy_fixture import ProxyFixture, answer, asked
+from tests.gateway.proxy.test_message_ends import LARGE, head, read
+from tests.gateway.proxy.test_proxy_startup import flight, service
+from tests.ingress.socket_rig import Client, run, until
 
 LENGTH = f"Content-Length: {len(LARGE)}"
 
--- a/tests/gateway/quota/test_client_shutdown.py
+++ b/tests/gateway/quota/test_client_shutdown.py
@@ -16,7 +16,7 @@
 from gateway.quota.quota_client import QuotaClient
 from gateway.quota.quota_pb2 import Charge, ClientHeartbeat, ClientHeartbeatReply, Message, ShardMap
 from gateway.runtime.settings import read_document
-from tests.system.quota_net import QuotaNetwork
+from tests.gateway.quota.quota_network import QuotaNetwork
 
 NORMAL, EIGHT_TIMES = 30.0, 480.0  # requests a second, of a tenant that may send 60
 BACK_S = 3.0  # from a proxy's end to its next start
--- a/tests/gateway/quota/test_owner_startup.py
+++ b/tests/gateway/quota/test_owner_startup.py
@@ -22,7 +22,7 @@
 from gateway.quota.shard_owner import ShardOwner
 from gateway.quota.tenant_counter import EARLY_FRACTION, TenantCounter
 from gateway.quota.window import Window, tenant_number
-from tests.system.quota_net import QuotaNetwork
+from tests.gateway.quota.quota_network import QuotaNetwork
 
 
 def test_a_part_of_the_allowance_flows_evenly_until_the_count_opens() -> None:
--- a/tests/gateway/quota/test_peers.py
+++ b/tests/gateway/quota/test_peers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gateway.quota.peers import LASTS_S, Peers
-from tests.system.quota_net import QuotaNetwork
+from tests.gateway.quota.quota_network import QuotaNetwork
 
 
 def test_the_highest_bound_that_has_not_ended_counts() -> None:
--- a/tests/gateway/quota/test_quota_plane.py
+++ b/tests/gateway/quota/test_quota_plane.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gateway.quota.tenant_counter import TenantCounter
-from tests.system.quota_net import QuotaNetwork
+from tests.gateway.quota.quota_network import QuotaNetwork
 
 TENANTS = {"hot": (63.0, 63.0), "calm": (100.0, 100.0)}
 
--- a/tests/gateway/quota/test_reserved_shares.py
+++ b/tests/gateway/quota/test_reserved_shares.py
@@ -5,7 +5,7 @@
 from gateway.quota.interface import FULL_SHARE
 from gateway.quota.tenant_counter import TenantCounter
 from gateway.quota.window import Window
-from tests.system.quota_net import SPAN, QuotaNetwork
+from tests.gateway.quota.quota_network import SPAN, QuotaNetwork
 
 
 def test_shares_that_a_count_lowers_are_not_kept_back() -> None:
--- a/tests/gateway/runtime/test_settings.py
+++ b/tests/gateway/runtime/test_settings.py
@@ -91,7 +91,7 @@
     Path("good.yaml").write_text(yaml.safe_dump(SMALL))
     Path("bad.yaml").write_text(yaml.safe_dump({"self": {"ip": "<b>"}}))
     Path("bad.json").write_text('{"generation": 0, "resource-list": []}')
-    good = str(Path(__file__).parents[2] / "examples/config.json")
+    good = str(Path(__file__).parents[3] / "examples/config.json")
     exchanges: list[Any] = []
     for line in (
         "version",
@@ -118,6 +118,6 @@
         "import gateway.runtime.log_ring, gateway.runtime.ticker\n"
         "print(sorted({'cleo', 'pythonjsonlogger', 'dataclasses', 'yaml'} & sys.modules.keys()))"
     )
-    root = Path(__file__).parents[2]
+    root = Path(__file__).parents[3]
     out = subprocess.run([sys.executable, "-c", code], cwd=root, capture_output=True, text=True, check=True)
     assert out.stdout == "['yaml']\n"
--- a/tests/ingress/ingress_driver.py
+++ b/tests/ingress/ingress_driver.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from roadspur import interface as io
-from roadspur.control import Gateway
+from ingress import interface as io
+from ingress.control import Gateway
 
 SAFE = io.ClassSettings("read", io.Effect.SAFE, objective=2.0, deadline=6.0)
 KEYED = io.ClassSettings("pay", io.Effect.KEYED, objective=2.0, deadline=6.0, worth=5, window=1.0)
--- a/tests/ingress/socket_rig.py
+++ b/tests/ingress/socket_rig.py
@@ -11,12 +11,12 @@
 
 import uvloop
 
-from roadspur import interface as io
-from roadspur.net.discovery import Listing, read_listing
-from roadspur.net.ingress import Ingress
-from roadspur.net.server import Server
-from roadspur.net.upstream import Upstream
-from tests.ingress_driver import CEILED, KEYED, PLAN, SAFE, UNSAFE
+from ingress import interface as io
+from ingress.net.discovery import Listing, read_listing
+from ingress.net.ingress import Ingress
+from ingress.net.server import Server
+from ingress.net.upstream import Upstream
+from tests.ingress.ingress_driver import CEILED, KEYED, PLAN, SAFE, UNSAFE
 
 HOST = "127.0.0.1"
 PATIENCE_S = 20.0  # for anything at all to happen; never what a test measures
--- a/tests/ingress/test_admission.py
+++ b/tests/ingress/test_admission.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from roadspur import control, gossip
-from roadspur import interface as io
-from roadspur.calling import OUTAGE_MISSES
-from roadspur.customer import EXCESS_S, Customer
-from tests.ingress_driver import CEILED, PLAN, SAFE, GatewayDriver, only, some
+from ingress import control, gossip
+from ingress import interface as io
+from ingress.calling import OUTAGE_MISSES
+from ingress.customer import EXCESS_S, Customer
+from tests.ingress.ingress_driver import CEILED, PLAN, SAFE, GatewayDriver, only, some
 
 
 def serve(g: GatewayDriver, actions: list[io.Action]) -> bool:
--- a/tests/ingress/test_attempts.py
+++ b/tests/ingress/test_attempts.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from roadspur import interface as io
-from tests.ingress_driver import SAFE, UNSAFE, GatewayDriver, only, some
+from ingress import interface as io
+from tests.ingress.ingress_driver import SAFE, UNSAFE, GatewayDriver, only, some
 
 RAN = [io.Outcome.ERROR, io.Outcome.RESET, io.Outcome.TIMEOUT]
 NOT_RUN = [io.Outcome.FULL, io.Outcome.CONNECT_FAILED]
--- a/tests/ingress/test_concurrency_cap.py
+++ b/tests/ingress/test_concurrency_cap.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.opencap import KEEP
-from tests.ingress_driver import GatewayDriver, only, some
+from ingress import interface as io
+from ingress.opencap import KEEP
+from tests.ingress.ingress_driver import GatewayDriver, only, some
 
 CAPPED = io.PlanSettings("full", rate=0.0, burst=0.0, max_open=2, over_cost=0.6)
 
--- a/tests/ingress/test_console.py
+++ b/tests/ingress/test_console.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net import console as door
-from roadspur.net.console import CommandRefused, Console, ConsoleCommand
-from tests.socket_rig import HOST, IngressRig, Peer, call, in_turn, ok, run, until
+from ingress import interface as io
+from ingress.net import console as door
+from ingress.net.console import CommandRefused, Console, ConsoleCommand
+from tests.ingress.socket_rig import HOST, IngressRig, Peer, call, in_turn, ok, run, until
 
 
 class ConsoleFixture:
--- a/tests/ingress/test_cordon.py
+++ b/tests/ingress/test_cordon.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net.process_state import NAME, PROCESS, State
-from tests.ingress_driver import GatewayDriver, only, some
-from tests.socket_rig import Client, IngressRig, Peer, call, entry, in_turn, listing, ok, run, until
+from ingress import interface as io
+from ingress.net.process_state import NAME, PROCESS, State
+from tests.ingress.ingress_driver import GatewayDriver, only, some
+from tests.ingress.socket_rig import Client, IngressRig, Peer, call, entry, in_turn, listing, ok, run, until
 
 
 def backends_used(g: GatewayDriver, rounds: int = 20) -> set[str]:
--- a/tests/ingress/test_flow.py
+++ b/tests/ingress/test_flow.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net import client as client_module
-from roadspur.net import client_connection_base as line_module
-from roadspur.net import connection_interfaces, upstream
-from roadspur.net import server as server_module
-from roadspur.net.http_messages import unsent
-from tests.ingress_driver import GatewayDriver as Driven
-from tests.ingress_driver import only, some
-from tests.socket_rig import Client, IngressRig, Peer, call, closed_port, in_turn, ok, run, until
+from ingress import interface as io
+from ingress.net import client as client_module
+from ingress.net import client_connection_base as line_module
+from ingress.net import connection_interfaces, upstream
+from ingress.net import server as server_module
+from ingress.net.http_messages import unsent
+from tests.ingress.ingress_driver import GatewayDriver as Driven
+from tests.ingress.ingress_driver import only, some
+from tests.ingress.socket_rig import Client, IngressRig, Peer, call, closed_port, in_turn, ok, run, until
 
 LARGE = bytes(range(256)) * 4096  # 1 MiB
 
--- a/tests/ingress/test_http_messages.py
+++ b/tests/ingress/test_http_messages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from roadspur.net.http_messages import MAX_WHOLE, ResponseEnd, ResponseReader
+from ingress.net.http_messages import MAX_WHOLE, ResponseEnd, ResponseReader
 
 SMALL = b"HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nContent-Length: 2\r\n\r\nok"
 BODY = b"x" * (MAX_WHOLE + 1)
--- a/tests/ingress/test_ingress.py
+++ b/tests/ingress/test_ingress.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from roadspur import interface as io
-from tests.socket_rig import (
+from ingress import interface as io
+from tests.ingress.socket_rig import (
     Client,
     IngressRig,
     Peer,
--- a/tests/ingress/test_program.py
+++ b/tests/ingress/test_program.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.socket_rig import HOST, Client, Peer, call, closed_port, entry, ok, run, until
+from tests.ingress.socket_rig import HOST, Client, Peer, call, closed_port, entry, ok, run, until
 
 SETTINGS = {
     "balancers": 1,
@@ -50,7 +50,7 @@
 
 
 class Program:
-    """`python -m roadspur` with peers of the test's."""
+    """`python -m ingress` with peers of the test's."""
 
     def __init__(self, tmp_path, **config):
         self.port, self.process = closed_port(), None
@@ -73,7 +73,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "roadspur",
+            "ingress",
             env={**os.environ, "PROXY_CONFIG": str(self.path), "TMPDIR": str(self.path.parent)},
             stderr=subprocess.PIPE,
         )
@@ -270,7 +270,7 @@
     if config is not None:
         env["PROXY_CONFIG"] = str(path)
     done = subprocess.run(
-        [sys.executable, "-m", "roadspur"], env=env, capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "ingress"], env=env, capture_output=True, text=True, timeout=60
     )
     lines = [line for line in done.stderr.splitlines() if " INFO " not in line]
-    assert done.returncode == 2 and len(lines) == 1 and lines[0].startswith("roadspur: ")
+    assert done.returncode == 2 and len(lines) == 1 and lines[0].startswith("ingress: ")
--- a/tests/ingress/test_server.py
+++ b/tests/ingress/test_server.py
@@ -7,12 +7,24 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net import client as client_module
-from roadspur.net import connection_interfaces
-from roadspur.net import server as server_module
-from roadspur.net.process_state import State
-from tests.socket_rig import HOST, Client, IngressRig, Peer, call, entry, in_turn, listing, ok, run, until
+from ingress import interface as io
+from ingress.net import client as client_module
+from ingress.net import connection_interfaces
+from ingress.net import server as server_module
+from ingress.net.process_state import State
+from tests.ingress.socket_rig import (
+    HOST,
+    Client,
+    IngressRig,
+    Peer,
+    call,
+    entry,
+    in_turn,
+    listing,
+    ok,
+    run,
+    until,
+)
 
 BODY = b"x" * (64 * 1024)
 
--- a/tests/ingress/test_services.py
+++ b/tests/ingress/test_services.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net import counter as counter_module
-from roadspur.net import discovery as discovery_module
-from roadspur.net.counter import Counter
-from roadspur.net.discovery import Discovery, read_listing
-from roadspur.net.peers import Peers
-from tests.socket_rig import HOST, Peer, closed_port, entry, ok, run, until
+from ingress import interface as io
+from ingress.net import counter as counter_module
+from ingress.net import discovery as discovery_module
+from ingress.net.counter import Counter
+from ingress.net.discovery import Discovery, read_listing
+from ingress.net.peers import Peers
+from tests.ingress.socket_rig import HOST, Peer, closed_port, entry, ok, run, until
 
 LONG = 10.0  # a time-out that no test waits for
 
--- a/tests/ingress/test_upstream.py
+++ b/tests/ingress/test_upstream.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net import upstream as upstream_module
-from tests.socket_rig import (
+from ingress import interface as io
+from ingress.net import upstream as upstream_module
+from tests.ingress.socket_rig import (
     Client,
     IngressRig,
     Peer,
--- a/tests/ingress/test_wirehost.py
+++ b/tests/ingress/test_wirehost.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur import wirehost
+from ingress import interface as io
+from ingress import wirehost
 
 BORN = (
     "BORN 3 17 balancers=2 me=1 zone=z0 step=0.002 extra.counter=true extra.counterTimeout=0.08 "
@@ -167,7 +167,7 @@
     ],
 )
 def test_malformed_lines_end_in_one_plain_line(text, words):
-    command = [sys.executable, "-m", "roadspur.wirehost"]
+    command = [sys.executable, "-m", "ingress.wirehost"]
     got = subprocess.run(command, input=text, capture_output=True, text=True)
     assert got.returncode != 0 and got.stdout == ""
     assert got.stderr.count("\n") == 1 and "Traceback" not in got.stderr
--- a/tests/simulation/test_allowance.py
+++ b/tests/simulation/test_allowance.py
@@ -12,8 +12,8 @@
 from gateway.quota.decision_statistics import EDGES, HOLDER, SHARE
 from gateway.quota.quota_pb2 import Message
 from gateway.runtime.log_ring import LogRing
-from proving import allowance as proving
-from tests.system.quota_net import QuotaNetwork
+from simulation import allowance as simulation
+from tests.gateway.quota.quota_network import QuotaNetwork
 
 TENANTS = {"calm": (40.0, 40.0), "hot": (20.0, 20.0)}
 
@@ -147,13 +147,15 @@
     net.lead(next(iter(net.owners)))
     net.run(40.0)
     look()
-    day = proving.gather(proving.read([*lines, lines[-1][:60]]))
+    day = simulation.gather(simulation.read([*lines, lines[-1][:60]]))
     decided = net.asked.total() - len(net.tenant_of)  # some are still waiting
     assert sum(map(sum, day.decided.values())) == decided == sum(map(sum, day.times.values()))
     assert {key for key in day.decided} == {("calm", 0), ("hot", 0), ("hot", 2)}
-    assert 0.002 < proving.quantile(day.times["holder"], 0.5) < 0.009
+    assert 0.002 < simulation.quantile(day.times["holder"], 0.5) < 0.009
     assert {move[1:3] for move in day.moves} >= {("calm", f"edge-{gone} {gone}")}
-    assert "hot     1           " in proving.render_day(day) and all(view.beyond == 0 for view in day.views)
+    assert "hot     1           " in simulation.render_day(day) and all(
+        view.beyond == 0 for view in day.views
+    )
 
 
 def test_lines_of_counts_are_written_at_once_only_if_asked_for():
--- a/tests/simulation/test_capacity.py
+++ b/tests/simulation/test_capacity.py
@@ -13,13 +13,13 @@
 from gateway.consensus.consensus_pb2 import Kind
 from gateway.membership.membership_pb2 import Message as MembershipMessage
 from gateway.quota.quota_pb2 import Message as QuotaMessage
-from proving.capacity import budget, fit, former_names, page, samples, studies
-from proving.capacity.figures import Estimate, Part
-from proving.capacity.fleet import Fleet, FleetSize
-from proving.capacity.growth import roles
-from proving.capacity.meter import Counts, wire_bytes
-from proving.capacity.samples import Point, RecordingError, Sample
-from proving.cli import CapacityCommand
+from simulation.capacity import budget, fit, former_names, page, samples, studies
+from simulation.capacity.figures import Estimate, Part
+from simulation.capacity.fleet import Fleet, FleetSize
+from simulation.capacity.growth import roles
+from simulation.capacity.meter import Counts, wire_bytes
+from simulation.capacity.samples import Point, RecordingError, Sample
+from simulation.cli import CapacityCommand
 
 RECORDED = Path(__file__).parents[2] / "docs" / "capacity"
 
--- a/tests/simulation/test_checkers.py
+++ b/tests/simulation/test_checkers.py
@@ -1,4 +1,4 @@
-"""The proving ground: each checker finds the fault that is planted for it, and nothing without one."""
+"""The simulation: each checker finds the fault that is planted for it, and nothing without one."""
 
 import logging
 from dataclasses import replace
@@ -6,12 +6,12 @@
 
 import pytest
 
-from proving import hunt, injected_bug_cases, random_days, recording
-from proving.checkers import RULES, configuration
-from proving.injected_bug_cases import INJECTED_BUG_CASES, SMALL
-from proving.model.record import Order
-from proving.model.simulation_run import Run, play
-from proving.model.tcp import TcpEndpoint
+from simulation import hunt, injected_bug_cases, random_days, recording
+from simulation.checkers import RULES, configuration
+from simulation.injected_bug_cases import INJECTED_BUG_CASES, SMALL
+from simulation.model.record import Order
+from simulation.model.simulation_run import Run, play
+from simulation.model.tcp import TcpEndpoint
 
 
 @pytest.fixture(autouse=True)
--- a/tests/simulation/test_disk_loss_tolerance.py
+++ b/tests/simulation/test_disk_loss_tolerance.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gateway.consensus.records import EMPTY_ENTRY, Entry, Member, PersistentState
-from proving import disk_loss_tolerance
+from simulation import disk_loss_tolerance
 
 A, B, C, D = (Member(x, f"10.0.0.{n}:1") for n, x in enumerate("abcd"))
 OLD = Entry(1, 3, 1, (A, B, C), (), b"old")
--- a/tests/simulation/test_orders.py
+++ b/tests/simulation/test_orders.py
@@ -10,8 +10,8 @@
 from syrupy.assertion import SnapshotAssertion
 
 from gateway.runtime.log_ring import LogRing
-from proving import orders, spec
-from proving.model.simulation_run import Run
+from simulation import orders, spec
+from simulation.model.simulation_run import Run
 
 LOG = """
 start of the day, no object here
@@ -36,7 +36,7 @@
 
 def test_what_the_programs_log_of_a_day(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("gateway.runtime.log_ring.MAX_LINES_PER_SECOND", 999)  # one ring for all
-    told = spec.load("proving/sites/small.toml")[0]
+    told = spec.load("simulation/sites/small.toml")[0]
     run = Run(replace(told, day=replace(told.day, seconds=14.0, traffic=False, config_changes=1.0)), 3)
     lines: list[str] = []
     ring = LogRing(
--- a/tests/simulation/test_partitioned_core.py
+++ b/tests/simulation/test_partitioned_core.py
@@ -7,9 +7,9 @@
 
 from gateway.config.orders import ConfigState
 from gateway.runtime.http_listener import HttpCall
-from proving.injected_bug_cases import SMALL
-from proving.model.simulation_run import Run
-from proving.spec import Day
+from simulation.injected_bug_cases import SMALL
+from simulation.model.simulation_run import Run
+from simulation.spec import Day
 
 BEGINS, LASTS, SHORT = 3.5, 20.0, 11.5
 SLACK_S = 2.5  # of a cut's beginning, in which an election may be awaited
--- a/tests/simulation/test_schedules.py
+++ b/tests/simulation/test_schedules.py
@@ -7,9 +7,9 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from proving import hunt, random_days
-from proving.injected_bug_cases import SMALL
-from proving.spec import Disruption
+from simulation import hunt, random_days
+from simulation.injected_bug_cases import SMALL
+from simulation.spec import Disruption
 
 KINDS = sorted(
     {
--- a/tests/simulation/test_standard_days.py
+++ b/tests/simulation/test_standard_days.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-import proving
-from proving import spec
-from proving.model.operators import routes_of
-from proving.model.simulation_run import Run
+import simulation
+from simulation import spec
+from simulation.model.operators import routes_of
+from simulation.model.simulation_run import Run
 
 
 @pytest.fixture(autouse=True)
@@ -18,7 +18,7 @@
 
 
 def test_only_added_routes_are_removed():
-    site = spec.load(Path(proving.__file__).parent / "sites" / "atlas-cadastre.toml")[0]
+    site = spec.load(Path(simulation.__file__).parent / "sites" / "atlas-cadastre.toml")[0]
     run = Run(site, 1)
     run.simulator.at(1.0, run.operator_pool.begin)
     run.deployment.start()
@@ -31,6 +31,6 @@
 
 
 def test_equal_figures_share_their_place():
-    from proving.comparison import ranks
+    from simulation.comparison import ranks
 
     assert list(ranks([0.5, 0.1, 0.5, 0.9])) == [2.5, 1.0, 2.5, 4.0]
--- a/tests/simulation/test_transcript.py
+++ b/tests/simulation/test_transcript.py
@@ -9,14 +9,14 @@
 
 from cleo.testers.command_tester import CommandTester
 
-import proving
+import simulation
 from gateway.consensus.consensus_pb2 import Kind, Message
-from proving.cli import ShowCommand
-from proving.model.network import Location
-from proving.model.simulation_run import Run
-from proving.transcript import TranscriptWriter
+from simulation.cli import ShowCommand
+from simulation.model.network import Location
+from simulation.model.simulation_run import Run
+from simulation.transcript import TranscriptWriter
 
-SMALL_SITE = Path(proving.__file__).parent / "sites" / "small.toml"
+SMALL_SITE = Path(simulation.__file__).parent / "sites" / "small.toml"
 
 
 def test_a_plane_that_does_not_exist_is_refused_before_anything_is_played() -> None:
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -7,7 +7,7 @@
 
 from gateway.programs import PROGRAMS
 
-DEPLOY = tomllib.loads((Path(__file__).parents[2] / "deploy" / "system.toml").read_text(encoding="utf-8"))
+DEPLOY = tomllib.loads((Path(__file__).parents[1] / "deploy" / "system.toml").read_text(encoding="utf-8"))
 
 
 def test_the_build_takes_wheels_only_and_names_its_system_packages() -> None:
--- a/tests/test_import_structure.py
+++ b/tests/test_import_structure.py
@@ -12,14 +12,14 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parents[2]
-PACKAGES = ("gateway", "roadspur", "proving")
+ROOT = Path(__file__).resolve().parents[1]
+PACKAGES = ("gateway", "ingress", "simulation")
 UPWARD_IMPORTS = (
     ("gateway.runtime", "gateway.programs"),
     ("gateway.runtime", "gateway.cli"),
-    ("gateway", "proving"),
-    ("roadspur", "gateway"),
-    ("roadspur", "proving"),
+    ("gateway", "simulation"),
+    ("ingress", "gateway"),
+    ("ingress", "simulation"),
 )
 """Pairs of packages of which the first must not import the second."""
 
