--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from pathlib import Path
+
 import pytest
 
 from tests import known_red
@@ -66,3 +68,21 @@
     result = play(pytester, *lines)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     result.stderr.fnmatch_lines([f"*{told}*"])
+
+
+@pytest.mark.parametrize(
+    ("line", "passes"),
+    [(OVER.format("bad"), True), (OVER.format("good"), False), (OVER.format("gone"), False)],
+)
+def test_parallel_workers_pass_over_the_same_tests(
+    pytester: pytest.Pytester, monkeypatch: pytest.MonkeyPatch, line: str, passes: bool
+) -> None:
+    monkeypatch.setenv("PYTHONPATH", str(Path(known_red.__file__).parents[1]))
+    pytester.makepyfile(test_it="def test_bad(): assert False\ndef test_good(): pass\n")
+    pytester.makeconftest(CONFTEST)
+    (pytester.path / known_red.FILE).write_text(line)
+    result = pytester.runpytest_subprocess("-n", "2", "-p", "no:cacheprovider", ".")
+    assert (result.ret == pytest.ExitCode.OK) is passes
+    if passes:
+        result.assert_outcomes(passed=1, xfailed=1)
+        result.stdout.fnmatch_lines(["test_it.py::test_bad: the second copy is late (issue 19)"])
