--- a/examples/backend.py
+++ b/examples/backend.py
@@ -31,7 +31,10 @@
     """One request, read whole. Header names are in lower case."""
 
     def __init__(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
-        self.method, self.path, self.headers, self.body = method, path, headers, body
+        self.method = method
+        self.path = path
+        self.headers = headers
+        self.body = body
 
 
 async def read_request(reader: asyncio.StreamReader) -> Request:
@@ -61,7 +64,8 @@
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.o = options
-        self.running = self.waiting = 0
+        self.running = 0
+        self.waiting = 0
         self.slots = asyncio.Semaphore(options.capacity)
         self.draining = asyncio.Event()
         self.calls = 0
--- a/examples/calls.py
+++ b/examples/calls.py
@@ -32,7 +32,8 @@
         target = urlsplit(answer.headers.get("location", ""))
         if answer.status != 307 or not target.netloc:
             break
-        address, path = target.netloc, target.path
+        address = target.netloc
+        path = target.path
     return answer
 
 
--- a/examples/run.py
+++ b/examples/run.py
@@ -39,7 +39,8 @@
     """All processes of the example. `port` is the first of `PORTS` ports on loopback that it uses."""
 
     def __init__(self, port: int, folder: str) -> None:
-        self.port, self.folder = port, folder
+        self.port = port
+        self.folder = folder
         self.front, self.ready, self.control = (f"127.0.0.1:{port + i}" for i in range(3))
         self.programs: list[Process] = []
         self.backends: list[Process] = []
@@ -110,7 +111,8 @@
 
     def until(self, what: str, ask: Any) -> Answer:
         """Ask again until the answer is 200. RuntimeError: not in time, or a process has ended."""
-        ends, answer = time.monotonic() + START_S, NONE
+        ends = time.monotonic() + START_S
+        answer = NONE
         while time.monotonic() < ends and self.all_run():
             answer = ask()
             if answer.status == 200:
--- a/gateway/cli/allowance.py
+++ b/gateway/cli/allowance.py
@@ -33,10 +33,12 @@
 
 def merge_answers(answers: list[Row], faults: list[tuple[str, str]]) -> AllowanceReport:
     """Merge the status answers into one list of tenants and one of views, both sorted by tenant."""
-    tenants, views = [], []
+    tenants = []
+    views = []
     for answer in answers:
         for count in answer.get("allowance", ()):
-            remaining, row = count["remaining"], {"tenant": count["tenant"], "holder": answer["node"]}
+            remaining = count["remaining"]
+            row = {"tenant": count["tenant"], "holder": answer["node"]}
             seen = [
                 {**row, "remaining": remaining, **view, "differs": abs(int(remaining) - view["view"])}
                 for view in count["views"]
--- a/gateway/cli/commands.py
+++ b/gateway/cli/commands.py
@@ -266,7 +266,8 @@
         """Run the command; returns its exit code."""
         from gateway.consensus import quorum
 
-        members, tolerance = int(self.argument("members")), int(self.option("tolerance"))
+        members = int(self.argument("members"))
+        tolerance = int(self.option("tolerance"))
         self.line(f"acknowledged: on {quorum.majority(members)} of {members} disks")
         for loss in quorum.losses(members):
             away, gone = quorum.told(loss)
--- a/gateway/cli/control_client.py
+++ b/gateway/cli/control_client.py
@@ -19,8 +19,11 @@
 RETRY_STATUSES = (408, 429)  # transient: another controller may accept the call
 TRIES_4XX = 3  # any other 4xx is definite once it was received this often
 REDIRECTS = 2
-SILENCE_S, BYTES_A_SECOND = 1.0, 1e6  # timeout of one call in seconds; bytes of the body that add a second
-FIRST_PAUSE_S, LONGEST_PAUSE_S = 0.1, 2.0
+# timeout of one call in seconds; bytes of the body that add a second
+SILENCE_S = 1.0
+BYTES_A_SECOND = 1e6
+FIRST_PAUSE_S = 0.1
+LONGEST_PAUSE_S = 2.0
 
 
 class Answer(NamedTuple):
@@ -65,8 +68,11 @@
 
     A configuration change without a definite answer may be in force: sent again unchanged it then gets 200.
     """
-    patience, ends = SILENCE_S + len(body) / BYTES_A_SECOND, clock() + most_s
-    wait, unexpected_4xx, turn = FIRST_PAUSE_S, 0, 0
+    patience = SILENCE_S + len(body) / BYTES_A_SECOND
+    ends = clock() + most_s
+    wait = FIRST_PAUSE_S
+    unexpected_4xx = 0
+    turn = 0
     while True:
         answer = _follow(call, seeds[turn % len(seeds)], method, path, body, patience)
         unexpected_4xx += 400 <= answer.status < 500 and answer.status not in RETRY_STATUSES
@@ -78,7 +84,8 @@
         ):
             return answer
         pause(wait)
-        wait, turn = min(2 * wait, LONGEST_PAUSE_S), turn + 1
+        wait = min(2 * wait, LONGEST_PAUSE_S)
+        turn = turn + 1
 
 
 def _follow(call: Call, address: Address, method: str, path: str, body: bytes, patience: float) -> Answer:
@@ -89,5 +96,6 @@
         to = urlsplit(answer.location)
         if answer.status != 307 or not to.netloc:
             break
-        address, path = to.netloc, to.path + (f"?{to.query}" if to.query else "")
+        address = to.netloc
+        path = to.path + (f"?{to.query}" if to.query else "")
     return answer
--- a/gateway/cli/nodes.py
+++ b/gateway/cli/nodes.py
@@ -55,7 +55,8 @@
 
 def ask_each(seeds: Iterable[str], path: str = STATUS) -> tuple[list[Row], list[tuple[str, str]]]:
     """The answers of these `control` addresses, and the failures as pairs of address and reason."""
-    answers, faults = [], []
+    answers = []
+    faults = []
     for seed in seeds:
         try:
             answers.append(status(seed, path))
--- a/gateway/config/digest.py
+++ b/gateway/config/digest.py
@@ -98,7 +98,8 @@
     """Scans a compiled configuration repeatedly, some items a call, for differences from the expected."""
 
     def __init__(self, compiled_config: CompiledConfig, expected: ExpectedDigests) -> None:
-        self.compiled_config, self.expected = compiled_config, expected
+        self.compiled_config = compiled_config
+        self.expected = expected
         self.completed_passes = 0  # full scans so far
         self._pending_items: list[tuple[ItemKey, Any]] = []
 
@@ -116,7 +117,8 @@
 
     def check_item(self, name: ItemKey, thing: Any) -> list[Difference]:
         """Check one item that requests use; the fields that differ from the document."""
-        running, item = values_of(thing), self.expected.items.get(name)
+        running = values_of(thing)
+        item = self.expected.items.get(name)
         if item is None:
             return [Difference(f"{name[0]} {_label(name, running)}".rstrip(), "present", "absent")]
         return self._fields(name, running, item) if item_digest(name, running) != item.digest else []
--- a/gateway/config/document.py
+++ b/gateway/config/document.py
@@ -81,7 +81,9 @@
     )
 
     def __init__(self, raw: Raw, generation: int, base_version: int) -> None:
-        self.raw, self.generation, self.base_version = raw, generation, base_version
+        self.raw = raw
+        self.generation = generation
+        self.base_version = base_version
         self.entries: list[Raw] = raw["resource-list"]
         self.routes: dict[str, RouteEntry] = {}
         self.services: dict[str, ServiceEntry] = {}
@@ -153,7 +155,8 @@
     Replaced entries keep their position, new ones come last; removing an unknown name is no error.
     """
     errors: list[ConfigError] = []
-    upsert, remove = _upserted(raw, errors), _removed(raw, errors)
+    upsert = _upserted(raw, errors)
+    remove = _removed(raw, errors)
     places: dict[Key, str] = {}
     if not errors:
         _check_labels(upsert, "upsert.resource-list", places, errors)
--- a/gateway/config/orders.py
+++ b/gateway/config/orders.py
@@ -23,8 +23,11 @@
 FORMAT = 2  # of the encoded value, its first byte
 HEAD = struct.Struct(">BHQ")  # format, length of the history, generation of the newest order dropped from it
 ORDER_RECORD = struct.Struct(">QQ")  # fingerprint and generation
-FORMAT_1, MAX_REMEMBERED_ORDERS_1 = 1, 64  # the older format, without generations
-HEAD_1, ORDER_RECORD_1 = struct.Struct(">BB"), struct.Struct(">Q")
+# the older format, without generations
+FORMAT_1 = 1
+MAX_REMEMBERED_ORDERS_1 = 64
+HEAD_1 = struct.Struct(">BB")
+ORDER_RECORD_1 = struct.Struct(">Q")
 
 
 class ConfigState:
@@ -39,7 +42,9 @@
     def __init__(
         self, document: Document | None = None, taken: dict[int, int] | None = None, forgotten: int = 0
     ) -> None:
-        self.document, self.taken, self.forgotten = document, taken or {}, forgotten
+        self.document = document
+        self.taken = taken or {}
+        self.forgotten = forgotten
 
     @property
     def generation(self) -> int:
@@ -52,7 +57,8 @@
 
     def with_order(self, document: Document, order: int) -> ConfigState:
         """The state after accepting the order with this fingerprint, which results in `document`."""
-        taken, forgotten = {**self.taken, order: document.generation}, self.forgotten
+        taken = {**self.taken, order: document.generation}
+        forgotten = self.forgotten
         while len(taken) > MAX_REMEMBERED_ORDERS:
             forgotten = max(forgotten, taken.pop(next(iter(taken))))
         return ConfigState(document, taken, forgotten)
--- a/gateway/config/reference.py
+++ b/gateway/config/reference.py
@@ -51,7 +51,8 @@
     entry = _route(document.entries, _host(host), path.split(b"?")[0])
     if entry is None:
         return ExpectedDecision(404)
-    spec, tenants = entry["spec"], [e for e in document.entries if e["entry-kind"] == "tenants"]
+    spec = entry["spec"]
+    tenants = [e for e in document.entries if e["entry-kind"] == "tenants"]
     holder = next((t for t in tenants if key in [k.encode() for k in _spec(t).get("api-keys") or ()]), None)
     if tenants and holder is None and not spec.get("public"):
         return ExpectedDecision(401, entry["metadata"]["label"])
@@ -59,7 +60,8 @@
     rank = limits.get("precedence")
     if rank is None:
         rank = 1 if spec.get("precedence") is None else spec["precedence"]
-    deadline, tries = float(spec["deadline-s"]), spec.get("max-tries")
+    deadline = float(spec["deadline-s"])
+    tries = spec.get("max-tries")
     return ExpectedDecision(
         200,
         entry["metadata"]["label"],
@@ -77,7 +79,8 @@
 
 def compare_decision(running: RouteDecision, expected: ExpectedDecision) -> list[Difference]:
     """Where a live decision differs from the document. If status or route differ, only these are compared."""
-    r, tenant = running.route, running.tenant
+    r = running.route
+    tenant = running.tenant
     if r is None:
         ran = ExpectedDecision(running.status)
     elif running.status != 200:
@@ -127,7 +130,8 @@
         prefix = entry["spec"]["path-prefix"].encode()
         begins = path.startswith(prefix) and _host(entry["spec"]["hostname"].encode()) == host
         if begins and len(prefix) > longest:
-            best, longest = entry, len(prefix)
+            best = entry
+            longest = len(prefix)
     return best
 
 
--- a/gateway/config/routing.py
+++ b/gateway/config/routing.py
@@ -108,7 +108,8 @@
     __slots__ = ("generation", "hosts", "routes", "tenants", "keys", "requires_key", "services", "limits")
 
     def __init__(self, document: Document, previous: CompiledConfig | None = None) -> None:
-        self.generation, self.limits = document.generation, document.limits
+        self.generation = document.generation
+        self.limits = document.limits
         self.services = {s.label: Service(*s[1:]) for s in document.services.values()}
         self.routes: dict[str, Route] = {}
         self.hosts: dict[bytes, Node] = {}
@@ -144,12 +145,14 @@
             path = path[:end]
         if path[:1] != b"/":
             return None
-        best, start = node.route, 1
+        best = node.route
+        start = 1
         while node.children and (end := path.find(b"/", start)) >= 0:
             node = node.children.get(path[start:end])
             if node is None:
                 break
-            best, start = node.route or best, end + 1
+            best = node.route or best
+            start = end + 1
         return best
 
     def tenant(self, key: bytes) -> Tenant | None:
@@ -184,7 +187,8 @@
 def cumulative_shares(targets: Targets) -> Targets:
     """Services with a positive share, each with the upper bound of its interval in [0, 1]."""
     total = sum(share for _, share in targets)
-    run, added = 0.0, []
+    run = 0.0
+    added = []
     for service, share in targets:
         if share > 0:
             run += share / total
--- a/gateway/consensus/candidate.py
+++ b/gateway/consensus/candidate.py
@@ -16,11 +16,9 @@
     def __init__(
         self, replica: Replica, now: float, retry_interval_s: float, leadership_transfer: bool = False
     ) -> None:
-        self.replica, self.retry_interval_s, self.leadership_transfer = (
-            replica,
-            retry_interval_s,
-            leadership_transfer,
-        )
+        self.replica = replica
+        self.retry_interval_s = retry_interval_s
+        self.leadership_transfer = leadership_transfer
         self.requesting_votes = False  # in a new term; before that it only asks for pre-votes
         self.granted = {replica.disk}
         self.requested_at = now
@@ -63,7 +61,8 @@
     def _start_election(self) -> None:
         self.replica.enter_term(self.replica.term + 1)
         self.replica.vote = self.replica.disk
-        self.requesting_votes, self.granted = True, set()
+        self.requesting_votes = True
+        self.granted = set()
 
     def _count(self) -> None:
         if not self.replica.entry.has_quorum(self.granted):
@@ -83,5 +82,6 @@
                     pb.REQUEST_VOTE if self.requesting_votes else pb.PRE_VOTE, member.disk
                 )
                 message.term = replica.term if self.requesting_votes else replica.term + 1
-                message.leadership_transfer, message.sent = self.leadership_transfer, self.requested_at
+                message.leadership_transfer = self.leadership_transfer
+                message.sent = self.requested_at
                 replica.send(member.address, message)
--- a/gateway/consensus/cold_start.py
+++ b/gateway/consensus/cold_start.py
@@ -31,7 +31,10 @@
     times of its own clock, in seconds."""
 
     def __init__(self, replica: Replica, now: float, until: float, began: float) -> None:
-        self.replica, self.until, self.began, self.initial_term = replica, until, began, replica.term
+        self.replica = replica
+        self.until = until
+        self.began = began
+        self.initial_term = replica.term
         self.incarnation = (
             replica.rng.getrandbits(63) + 1
         )  # echoed in answers; answers to an earlier incarnation don't count
@@ -94,7 +97,8 @@
 
     def _tell(self, now: float, to: Address, disk: str, to_incarnation: int, asks: bool = True) -> None:
         message = self.replica.message_with_last_position(pb.RESTARTED, disk)
-        message.age_ms, message.initial_term = int(1000 * (now - self.began)), self.initial_term
+        message.age_ms = int(1000 * (now - self.began))
+        message.initial_term = self.initial_term
         message.to_incarnation = to_incarnation
         message.incarnation = self.incarnation if asks and disk not in self.others else 0
         self.replica.send(to, message)
--- a/gateway/consensus/follower.py
+++ b/gateway/consensus/follower.py
@@ -16,7 +16,10 @@
     because of the heartbeats that it has acknowledged. Times are seconds of this process's clock."""
 
     def __init__(self, replica: Replica, timing: Timing, now: float, leaving: bool) -> None:
-        self.replica, self.timing, self.heard, self.withheld = replica, timing, NEVER, now
+        self.replica = replica
+        self.timing = timing
+        self.heard = NEVER
+        self.withheld = now
         self.leader: Address | None = None
         self.disk = ""  # the leader's
         self.sent = 0.0  # when the leader sent the newest heartbeat, by the leader's clock
@@ -31,7 +34,10 @@
     def on_heartbeat(self, now: float, sender: Address, message: pb.Message) -> None:
         """A heartbeat of this term's leader, perhaps with its newest entry: accept and acknowledge it."""
         replica = self.replica
-        self.leader, self.disk, self.heard, self.sent = sender, message.disk, now, message.sent
+        self.leader = sender
+        self.disk = message.disk
+        self.heard = now
+        self.sent = message.sent
         self.commit = max(self.commit, (message.term, message.commit))
         self._withhold(now, message.stretch or 1.0)
         if message.last_reply_at and self.last_reply_at < message.last_reply_at <= now:
@@ -70,7 +76,9 @@
         """Report the positions of the newest entry held and of the newest one on disk to a leader."""
         replica = self.replica
         message = replica.message_with_durable_position(pb.APPEND_RESPONSE, disk)
-        message.sent, message.replied_at, message.leaving = sent, now, self.leaving
+        message.sent = sent
+        message.replied_at = now
+        message.leaving = self.leaving
         if promise > 1.0:
             message.stretch = promise
         replica.send(to, message)
@@ -87,12 +95,15 @@
         replica = self.replica
         self.timing.follow(asked)
         if asked > 1.0:
-            replica.stretch, self.stretched_at = max(replica.stretch, asked), now
+            replica.stretch = max(replica.stretch, asked)
+            self.stretched_at = now
         self.promise = min(asked, replica.promisable())
         self.withheld = max(self.withheld, now + self.promise * replica.tuning.election_min_s)
 
     def _accept_entry(self, message: pb.Message) -> None:
-        replica, entry, base = self.replica, get_entry(message.entry), (message.base_term, message.base_index)
+        replica = self.replica
+        entry = get_entry(message.entry)
+        base = (message.base_term, message.base_index)
         if base == (0, 0):
             replica.entry = entry
         elif base == replica.entry.position:
--- a/gateway/consensus/leader.py
+++ b/gateway/consensus/leader.py
@@ -23,15 +23,16 @@
     """
 
     def __init__(self, replica: Replica, now: float, tolerance: int, timing: Timing) -> None:
-        self.replica, self.tolerance, self.timing = replica, tolerance, timing
+        self.replica = replica
+        self.tolerance = tolerance
+        self.timing = timing
         timing.lead()
         self.replication = Replication(replica, now, timing)
         self.join_requests = JoinRequests()
         self.proposal: Propose | None = None
-        self.proposed_at, self.proposal_in_flight = (
-            now,
-            False,
-        )  # when the proposal came, and whether its entry is being replicated
+        # when the proposal came, and whether its entry is being replicated
+        self.proposed_at = now
+        self.proposal_in_flight = False
         self.removed: list[Member] = []
         self.next_reconfiguration_check_at = now
         self.replication.replicate(now, replica.entry)
@@ -85,7 +86,9 @@
         if self.proposal is not None or self.replication.transfer_since is not None:
             self.replica.out.append(Proposed(proposal.token, "refused"))
             return
-        self.proposal, self.proposed_at, self.proposal_in_flight = proposal, now, False
+        self.proposal = proposal
+        self.proposed_at = now
+        self.proposal_in_flight = False
         self._start_waiting_proposal(now)
 
     def on_append_response(self, now: float, message: pb.Message) -> None:
@@ -98,7 +101,8 @@
 
         A committed joint configuration is followed by the entry that has the new members alone.
         """
-        replica, entry = self.replica, self.replica.entry
+        replica = self.replica
+        entry = self.replica.entry
         if self.newest_entry_committed:
             return
         disks = {p.disk for p in self.peers.values() if p.durable_position == entry.position}
@@ -124,7 +128,8 @@
     def join(self, now: float, sender: Address, message: pb.Message) -> None:
         """Handle a join request: answer with a hint, and note the disk if it already has this leader's hint
         (which the request's term shows)."""
-        replica, known = self.replica, self.replica.committed_entry
+        replica = self.replica
+        known = self.replica.committed_entry
         if message.disk in self.replication.past_members:  # a removed disk never rejoins under its old id
             if (
                 known is not None
@@ -151,7 +156,9 @@
         if peer is None or peer.address != member.address:
             peer = Peer(member, now)
             peer.wait = self.replication.resend_s
-        peer.heard, peer.last_position, peer.durable_position = now, last_position, durable_position
+        peer.heard = now
+        peer.last_position = last_position
+        peer.durable_position = durable_position
         self.replication.learners[member.disk] = peer
         if durable_position == self.replica.entry.position:
             self.next_reconfiguration_check_at = now
@@ -211,7 +218,8 @@
     def _answer(self, outcome: str) -> None:
         if self.proposal is not None:
             self.replica.out.append(Proposed(self.proposal.token, outcome))
-        self.proposal, self.proposal_in_flight = None, False
+        self.proposal = None
+        self.proposal_in_flight = False
 
     def _start_waiting_proposal(self, now: float) -> None:
         """Replicate the pending proposal if no entry is uncommitted and no membership change under way."""
@@ -243,7 +251,8 @@
             or not self.has_leader_lease(now)
         ):
             return
-        entry, t = self.replica.entry, self.replica.tuning
+        entry = self.replica.entry
+        t = self.replica.tuning
         self.next_reconfiguration_check_at = now + t.heartbeat_interval_s
         join_requests = [
             a
--- a/gateway/consensus/learner.py
+++ b/gateway/consensus/learner.py
@@ -24,7 +24,9 @@
         self.core: tuple[Address, ...] = ()  # addresses named by others
         self.leader: Address | None = None
         self.term = 0  # the leader's
-        self.heard = self.next = self.requested_at = 0.0
+        self.heard = 0.0
+        self.next = 0.0
+        self.requested_at = 0.0
 
     def learn(self, addresses: Sequence[Address]) -> None:
         """Note the core's addresses as others name them; at most `MAX_CORE_ADDRESSES`."""
@@ -61,7 +63,9 @@
         if term == 0 and leader == self.leader:
             return
         new = (leader, term) != (self.leader, self.term)
-        self.leader, self.term, self.heard = leader, term, now
+        self.leader = leader
+        self.term = term
+        self.heard = now
         if new:
             self.next = min(self.next, self.requested_at + MIN_REQUEST_INTERVAL_S)
             self.tick(now)
@@ -76,7 +80,8 @@
         replica = self.replica
         if replica.persisted.disk != replica.disk:  # its first write isn't durable yet
             return
-        self.requested_at, self.next = now, now + replica.tuning.request_interval_s
+        self.requested_at = now
+        self.next = now + replica.tuning.request_interval_s
         targets = {*self.seeds, *self.core} if self.leader is None else {self.leader}
         for address in sorted(targets - {replica.me}):
             message = replica.message_with_durable_position(pb.JOIN)
--- a/gateway/consensus/message_dispatch.py
+++ b/gateway/consensus/message_dispatch.py
@@ -61,14 +61,16 @@
     """Passes each message that a node receives to the role that handles it, in the term it belongs to."""
 
     def __init__(self, node: Node) -> None:
-        self.node, self.replica = node, node.replica
+        self.node = node
+        self.replica = node.replica
 
     def receive(self, now: float, sender: Address, message: pb.Message) -> None:
         """Handle a message from the network; a malformed one is dropped, and counted by its reason."""
         why = malformed_reason(message)
         if why:
             return self._drop(why)
-        kind, replica = message.kind, self.replica
+        kind = message.kind
+        replica = self.replica
         if message.to_disk and message.to_disk != replica.disk:
             if kind != pb.HEARTBEAT:  # meant for a disk that was here before, or for anyone
                 reject_removed_member(replica, sender, message)
@@ -127,7 +129,8 @@
             return self._drop("leader")
         if message.term > replica.term:
             self.node.enter_term(now, message.term)
-        self.node.candidate_role, self.node.cold_start.leaderless = None, False
+        self.node.candidate_role = None
+        self.node.cold_start.leaderless = False
         if learns:
             self.node.follower_role.learn(message)
             return self.node.learner_role.on_leader_entry(now, sender, message.term)
--- a/gateway/consensus/raft.py
+++ b/gateway/consensus/raft.py
@@ -72,7 +72,9 @@
         if stored is None and fresh and me in seeds:
             stored = PersistentState("first-" + me, 0, "", bootstrap_entry(seeds))
         self.replica = Replica(me, stored or PersistentState(new_disk_id, 0, "", EMPTY_ENTRY), tuning, rng)
-        self.tuning, self.rng, self.tolerance = tuning, rng, tolerance
+        self.tuning = tuning
+        self.rng = rng
+        self.tolerance = tolerance
         self.leader_role: LeaderRole | None = None
         self.candidate_role: CandidateRole | None = None
         self.learner_role = LearnerRole(self.replica, seeds, durable)
@@ -83,7 +85,9 @@
         self.leaderless_since: float | None = None  # set while this is the leader: see `ColdStart`
         self.voter = Voter(self.replica, self.cold_start, self.follower_role)
         self.dropped: dict[str, int] = {}
-        self.leaving = self.left = False  # asked to leave; and removed from the members after that
+        # asked to leave; and removed from the members after that
+        self.leaving = False
+        self.left = False
         self.message_dispatch = MessageDispatch(self)
         self.reset_election_timer(now)
 
@@ -146,7 +150,8 @@
         elif isinstance(event, Propose):
             self._propose(now, event)
         elif isinstance(event, Leave):
-            self.leaving = self.follower_role.leaving = True
+            self.leaving = True
+            self.follower_role.leaving = True
         elif isinstance(event, KnownAddresses):
             self.learner_role.learn(event.addresses)
         else:
@@ -193,7 +198,9 @@
         and steps down."""
         if self.candidate_role is not None and self.candidate_role.won:
             self.leaderless_since = self.cold_start.leaderless_since()
-            self.candidate_role, self.follower_role.leader, self.cold_start.leaderless = None, None, False
+            self.candidate_role = None
+            self.follower_role.leader = None
+            self.cold_start.leaderless = False
             self.leader_role = LeaderRole(self.replica, now, self.tolerance, self.timing)
         elif (
             self.leader_role is not None
@@ -223,15 +230,18 @@
         """Become a follower that knows of no leader."""
         if self.leader_role is not None:
             self.leader_role.resign()
-            self.leader_role = self.leaderless_since = None
-        self.candidate_role = self.follower_role.leader = None
+            self.leader_role = None
+            self.leaderless_since = None
+        self.candidate_role = None
+        self.follower_role.leader = None
         self.reset_election_timer(now)
 
     def enter_term(self, now: float, term: int) -> None:
         """Enter a later term that another member has announced."""
         if self.leader_role is not None or self.candidate_role is not None:
             self.step_down(now)
-        self.follower_role.leader = self.voter.pending_vote_reply = None
+        self.follower_role.leader = None
+        self.voter.pending_vote_reply = None
         self.replica.enter_term(term)
 
     def rejoin_as_new_disk(self, now: float) -> None:
--- a/gateway/consensus/records.py
+++ b/gateway/consensus/records.py
@@ -100,7 +100,9 @@
 
 def put_entry(entry: Entry, into: pb.Entry, value: bool = True) -> None:
     """Fill in the message of an entry, with its value or without."""
-    into.term, into.number, into.version = entry.term, entry.number, entry.version
+    into.term = entry.term
+    into.number = entry.number
+    into.version = entry.version
     put_members(entry.members, into.members)
     put_members(entry.outgoing, into.outgoing)
     if value:
--- a/gateway/consensus/replica.py
+++ b/gateway/consensus/replica.py
@@ -16,7 +16,9 @@
     """Term, vote and entry, in memory and as on disk (`persisted`). Outputs are collected in `out`."""
 
     def __init__(self, me: Address, stored: PersistentState, tuning: Tuning, rng: random.Random) -> None:
-        self.me, self.tuning, self.rng = me, tuning, rng
+        self.me = me
+        self.tuning = tuning
+        self.rng = rng
         self.disk, self.term, self.vote, self.entry, self.stretch = stored
         self.persisted = EMPTY_STATE
         self.committed_entry: Entry | None = None  # the newest entry known to be committed
@@ -55,7 +57,8 @@
 
     def enter_term(self, term: int) -> None:
         """Enter a later term, in which this disk hasn't voted. The term alone needs no write; a vote does."""
-        self.term, self.vote = term, ""
+        self.term = term
+        self.vote = ""
 
     def commit(self, entry: Entry) -> None:
         """Note that an entry is committed, and output its value if that is new."""
@@ -67,7 +70,10 @@
 
     def reset_identity(self, disk: str) -> None:
         """Become a disk, of this id, that has never been a member."""
-        self.disk, self.vote, self.entry, self.committed_entry = disk, "", EMPTY_ENTRY, None
+        self.disk = disk
+        self.vote = ""
+        self.entry = EMPTY_ENTRY
+        self.committed_entry = None
 
     def vote_is_persisted(self, disk: str) -> bool:
         """Whether the vote for that disk in this term is durable."""
@@ -98,7 +104,8 @@
         """A write has completed. False if it isn't the one in flight."""
         if token != self.token or self.writing is None:
             return False
-        self.persisted, self.writing = self.writing, None
+        self.persisted = self.writing
+        self.writing = None
         self.unpersisted_since = now if self._wanted() else None
         return True
 
@@ -106,7 +113,8 @@
         """A write has failed; it is retried after `write_retry_s`."""
         if token == self.token and self.writing is not None:
             self.persisted = self.persisted._replace(stretch=self.promisable())  # the disk may have either
-            self.writing, self.write_retry_at = None, now + self.tuning.write_retry_s
+            self.writing = None
+            self.write_retry_at = now + self.tuning.write_retry_s
 
     def promisable(self) -> float:
         """The highest stretch that a restart is certain to find on disk, whether or not the write in flight
--- a/gateway/consensus/replication.py
+++ b/gateway/consensus/replication.py
@@ -36,13 +36,17 @@
 
     def __init__(self, member: Member, now: float) -> None:
         self.disk, self.address = member
-        self.began, self.heard = now, NEVER  # when it became a peer, and when it was last heard
+        # when it became a peer, and when it was last heard
+        self.began = now
+        self.heard = NEVER
         self.acknowledged_at = NEVER  # when the newest heartbeat that it has acknowledged was sent
         self.withheld = NEVER  # until when it withholds its vote from others, less a safety margin
         self.replied_at = 0.0  # when its newest response was sent, by its clock; 0: there is none
         self.last_position: LogPosition | None = None  # newest entry that it holds, and below: on disk
         self.durable_position: LogPosition | None = None
-        self.next = self.wait = 0.0  # when an entry is resent, and the wait after that
+        # when an entry is resent, and the wait after that
+        self.next = 0.0
+        self.wait = 0.0
         self.bare_entry_sent_at = NEVER  # when an entry without its value was sent
         self.leaving = False  # by its newest response, it is leaving the members
 
@@ -51,7 +55,9 @@
     """The peers of a leader during its term, what it sends them, and its lease."""
 
     def __init__(self, replica: Replica, now: float, timing: Timing) -> None:
-        self.replica, self.began, self.timing = replica, now, timing
+        self.replica = replica
+        self.began = now
+        self.timing = timing
         self.peers: dict[str, Peer] = {}
         self.past_members: dict[str, None] = {}  # disks that have been members in this term, the latest ones
         self.recent_entries: dict[LogPosition, float] = {}  # entries that were the newest, and until when
@@ -101,12 +107,13 @@
             return False
         tuning = self.replica.tuning
         if now - peer.heard > tuning.election_min_s * self.timing.stretch:  # it is back: send what it lacks
-            peer.next, peer.wait = now, self.resend_s
-        peer.heard, peer.replied_at, peer.leaving = now, message.replied_at, message.leaving
-        peer.last_position, peer.durable_position = (
-            (message.last_term, message.last_index),
-            (message.durable_term, message.durable_index),
-        )
+            peer.next = now
+            peer.wait = self.resend_s
+        peer.heard = now
+        peer.replied_at = message.replied_at
+        peer.leaving = message.leaving
+        peer.last_position = (message.last_term, message.last_index)
+        peer.durable_position = (message.durable_term, message.durable_index)
         sent = min(message.sent, now)
         peer.acknowledged_at = max(peer.acknowledged_at, sent)
         withheld = sent + (tuning.election_min_s - tuning.lease_margin_s) * (message.stretch or 1.0)
@@ -137,7 +144,8 @@
         }
         self.past_members = dict.fromkeys([*self.past_members, *self.peers][-MAX_PAST_MEMBERS:])
         for peer in (*self.peers.values(), *self.learners.values()):
-            peer.next, peer.wait = now, self.resend_s
+            peer.next = now
+            peer.wait = self.resend_s
         self.renew_lease()
         self.broadcast(now)
 
--- a/gateway/consensus/storage.py
+++ b/gateway/consensus/storage.py
@@ -81,10 +81,8 @@
         except BaseException:
             self._remove(self.last_generation)
             raise
-        self.valid_generations, self.newest_record = (
-            [*self.valid_generations, self.last_generation][-RETAINED_GENERATIONS:],
-            record,
-        )
+        self.valid_generations = [*self.valid_generations, self.last_generation][-RETAINED_GENERATIONS:]
+        self.newest_record = record
         self._remove_obsolete()
 
     def _remove_obsolete(self) -> None:
@@ -96,7 +94,8 @@
     def _create_folder(self) -> None:
         """Create the folder if it is missing, and sync its name in any case: the process that created it may
         have been killed before it did so."""
-        new, path = [self.folder], self.folder
+        new = [self.folder]
+        path = self.folder
         while not os.path.isdir(path := os.path.dirname(path)):
             new.append(path)
         os.makedirs(self.folder, exist_ok=True)
@@ -132,7 +131,8 @@
             if os.path.getsize(name) > MAX_FILE_BYTES:
                 raise ValueError(f"{name} is too long")
         with _ModelessDatabase(path, "", "r") as generation:
-            data, told = generation[b"record"], generation[b"sum"]
+            data = generation[b"record"]
+            told = generation[b"sum"]
         if told != b"%d %d" % (len(data), zlib.crc32(data)):
             raise ValueError("checksum is wrong")
         return unpack(data)
--- a/gateway/consensus/timing.py
+++ b/gateway/consensus/timing.py
@@ -16,7 +16,9 @@
 PER_ROUND_TRIP = 2.5  # election timeouts in round trips: one each for the pre-vote, the vote and a disk
 SAMPLES = 4  # the shortest of these counts: a queue or a paused process delays single responses
 FRESH_S = 3.0  # a member that hasn't responded for so long isn't counted
-RISE_S, FALL_S = 0.2, 1.0  # for which a change must have been indicated
+# for which a change must have been indicated
+RISE_S = 0.2
+FALL_S = 1.0
 LONGEST_S = 10.0  # a longer round trip belongs to an earlier process
 
 
@@ -30,7 +32,8 @@
         self.heard: dict[str, float] = {}
         self.measured = 1.0  # stretch by this member's own round trips
         self.asked = 1.0  # stretch that the latest leader has requested
-        self.wanted, self.since = 1.0, now
+        self.wanted = 1.0
+        self.since = now
         self.election_deadline = now
 
     @property
@@ -41,13 +44,15 @@
     def reset_election_timer(self, now: float, leaving: bool = False) -> None:
         """Begin a random election timeout. A member that is leaving waits longer, so that those that stay
         become candidates first."""
-        shortest, longest = self.replica.tuning.election_min_s, self.replica.tuning.election_max_s
+        shortest = self.replica.tuning.election_min_s
+        longest = self.replica.tuning.election_max_s
         timeout = self.replica.rng.uniform(shortest, longest) + (longest if leaving else 0.0)
         self.election_deadline = now + self.stretch * timeout
 
     def follow(self, asked: float) -> None:
         """Adopt the stretch that a leader requests: a leader measures all the time, a follower doesn't."""
-        self.measured = self.wanted = 1.0
+        self.measured = 1.0
+        self.wanted = 1.0
         self.asked = asked
 
     def lead(self) -> None:
@@ -69,7 +74,8 @@
         if wanted == self.measured or wanted is None:
             self.wanted = self.measured
         elif wanted != self.wanted:
-            self.wanted, self.since = wanted, now
+            self.wanted = wanted
+            self.since = now
         elif now >= self.since + (RISE_S if wanted > self.measured else FALL_S):
             self.measured = wanted
 
--- a/gateway/consensus/voter.py
+++ b/gateway/consensus/voter.py
@@ -15,7 +15,9 @@
     """Answers candidates. A vote is announced only once it is on disk."""
 
     def __init__(self, replica: Replica, cold_start: ColdStart, follower_role: FollowerRole) -> None:
-        self.replica, self.cold_start, self.follower_role = replica, cold_start, follower_role
+        self.replica = replica
+        self.cold_start = cold_start
+        self.follower_role = follower_role
         self.pending_vote_reply: tuple[str, Address] | None = None  # whom to inform once the vote is durable
 
     def may_vote(self, now: float, message: pb.Message) -> bool:
@@ -50,7 +52,8 @@
         if message.term > replica.term:
             if not may_vote or (message.last_term, message.last_index) < replica.entry.position:
                 return
-            answer.granted, answer.term = True, message.term
+            answer.granted = True
+            answer.term = message.term
         replica.send(sender, answer)
 
     def request_vote(self, sender: Address, message: pb.Message) -> bool:
--- a/gateway/drift/detector.py
+++ b/gateway/drift/detector.py
@@ -23,7 +23,8 @@
 from gateway.state_machine import Address
 
 # of `apply_s`: after knowing of a newer version for so long, not ready, then requests are rejected
-UNREADY_RATIO, REFUSE_RATIO = 0.4, 0.6
+UNREADY_RATIO = 0.4
+REFUSE_RATIO = 0.6
 FETCH_INTERVAL_S = 0.5  # between two fetches of a newer version
 UNREADABLE_FETCH_INTERVAL_S = 5.0  # likewise, for a version that can't be read
 MAX_UNATTRIBUTED_FETCHES = 20  # fetches of a version that no known holder has
@@ -37,10 +38,14 @@
 MAX_REBUILDS = 3  # within that time; if they don't help, there are no more
 CORE_NOT_HEARD = "the core has yet to be heard"  # why requests are rejected right after a start
 # checks that found a difference: direct evaluation, and the digest when a version is applied
-SAMPLE, DIGEST = "sample", "digest"
-MAX_FINDINGS, MAX_TEXT_LENGTH = 32, 120  # findings kept, characters of a value in them
+SAMPLE = "sample"
+DIGEST = "digest"
+# findings kept, characters of a value in them
+MAX_FINDINGS = 32
+MAX_TEXT_LENGTH = 120
 # findings that aren't reported again, until they weren't found for so long
-MAX_KNOWN_FINDINGS, FORGET_S = 256, 600.0
+MAX_KNOWN_FINDINGS = 256
+FORGET_S = 600.0
 
 
 class DriftDetector:
@@ -53,11 +58,17 @@
     """
 
     def __init__(self, apply_s: float, refuse_after_s: float | None = None) -> None:
-        self.apply_s, self.refuse_after_s = apply_s, refuse_after_s
-        self.version = self.running = self.acknowledged = 0
+        self.apply_s = apply_s
+        self.refuse_after_s = refuse_after_s
+        self.version = 0
+        self.running = 0
+        self.acknowledged = 0
         # a newer version, a node that has it, since when it is known
-        self.newest, self.source, self.since = 0, "", 0.0
-        self.unattributed_version = self.tries = 0
+        self.newest = 0
+        self.source = ""
+        self.since = 0.0
+        self.unattributed_version = 0
+        self.tries = 0
         self.confirmed: float | None = None  # no request is served before that
         self.began = 0.0  # when the first version was applied
         self.last: float | None = None
@@ -67,7 +78,9 @@
         self.fetched_at = -1e9
         self.sample_rebuilt_at = -1e9  # last rebuild caused by a sample
         self.rebuilt: deque[float] = deque(maxlen=MAX_REBUILDS)
-        self.ready, self.refusing, self.why = True, False, ""
+        self.ready = True
+        self.refusing = False
+        self.why = ""
         self.known_findings: dict[Difference, float] = {}  # reported findings, and when they were found last
         self.findings: deque[Finding] = deque(maxlen=MAX_FINDINGS)
         self.found = 0
@@ -110,9 +123,11 @@
         self.began = self.began if self.version else now
         self.version, self.running, self.acknowledged = e
         if self.newest <= e.version:
-            self.newest, self.source = 0, ""
+            self.newest = 0
+            self.source = ""
         if self.unattributed_version <= e.version:
-            self.unattributed_version = self.tries = 0
+            self.unattributed_version = 0
+            self.tries = 0
         if e.running == e.acknowledged:
             return []
         what = Difference(f"version {e.version}", f"digest {e.running:016x}", f"digest {e.acknowledged:016x}")
@@ -120,7 +135,8 @@
 
     def _unreadable(self, now: float, e: VersionUnreadable) -> list[Any]:
         """A version was received and can't be read: it counts as newer and is fetched again."""
-        self.unreadable_version, self.fetched_at = e.version, now
+        self.unreadable_version = e.version
+        self.fetched_at = now
         self._note_newer(now, e.version, self.source)
         what = Difference(f"version {e.version}", f"version {self.version}", "unreadable: " + e.why)
         return self._report(what, "taking it up")
@@ -136,7 +152,8 @@
         if e.source:
             self._note_newer(now, e.version, e.source)
         elif e.version > max(self.unattributed_version, self.newest):
-            self.unattributed_version, self.tries = e.version, 0
+            self.unattributed_version = e.version
+            self.tries = 0
         return []
 
     def _note_newer(self, now: float, version: int, source: Address) -> None:
@@ -144,18 +161,21 @@
         if self.newest <= self.version:
             self.since = now
         if version > self.newest or (version == self.newest and source):
-            self.newest, self.source = version, source
+            self.newest = version
+            self.source = source
 
     def _confirmed(self, now: float, e: NewestConfirmed) -> list[Any]:
         """The core confirmed its newest version. An advertised one that the core still doesn't know after
         `CLAIM_GRACE_S` is dismissed."""
-        at, out = min(now, e.at + self.offset), list[Any]()
+        at = min(now, e.at + self.offset)
+        out = list[Any]()
         if e.version == self.version:
             self.confirmed = max(self.confirmed or at, at)
         if e.version < max(self.newest, self.unattributed_version) and e.version >= self.version:
             if self.newest > e.version and at >= self.since + CLAIM_GRACE_S:
                 what = f"version {self.newest}", f"claimed by {self.source}", f"version {e.version}"
-                out, self.newest = self._report(Difference(*what), "the last contact with the core"), 0
+                out = self._report(Difference(*what), "the last contact with the core")
+                self.newest = 0
             if self.tries > 1:
                 self.unattributed_version = 0
         if e.version > self.version:
@@ -168,12 +188,14 @@
         if now - self.fetched_at < (UNREADABLE_FETCH_INTERVAL_S if unreadable_version else FETCH_INTERVAL_S):
             return []
         if self.newest > self.version and now - self.since >= FETCH_INTERVAL_S:
-            self.fetched_at, self.tries = now, self.tries + 1
+            self.fetched_at = now
+            self.tries = self.tries + 1
             return [
                 FetchVersion(self.newest, self.source if self.tries % 2 else "", again=unreadable_version)
             ]
         if self.unattributed_version > self.version and self.tries < MAX_UNATTRIBUTED_FETCHES:
-            self.fetched_at, self.tries = now, self.tries + 1
+            self.fetched_at = now
+            self.tries = self.tries + 1
             return [FetchVersion(self.version + 1, "")]  # any newer one: the advertised one may not exist
         return []
 
@@ -242,7 +264,8 @@
 
     def _state(self, now: float) -> list[Any]:
         """Readiness and refusal of requests, where they have changed."""
-        lag, out = self.lag(), list[Any]()
+        lag = self.lag()
+        out = list[Any]()
         ready = (
             lag < UNREADY_RATIO * self.apply_s
             and not self._rebuild_limit_reached(now)
@@ -253,7 +276,8 @@
             self.ready = ready
             out.append(ReadinessChanged(ready))
         if why != self.why:
-            self.why, self.refusing = why, bool(why)
+            self.why = why
+            self.refusing = bool(why)
             out.append(RefusalChanged(self.refusing, why))
         return out
 
--- a/gateway/drift/fleet_status.py
+++ b/gateway/drift/fleet_status.py
@@ -13,7 +13,9 @@
 FORGET_AFTER_S = 120.0  # and then forgotten
 CONTACT_GAP_S = 2.5  # between two reports of a node that counts as in touch
 MAX_VERSIONS = 32  # acknowledged versions whose time is remembered
-MAX_FINDINGS, MAX_TEXT_LENGTH = 32, 400  # findings kept, characters of one
+# findings kept, characters of one
+MAX_FINDINGS = 32
+MAX_TEXT_LENGTH = 400
 
 
 class Node:
@@ -23,7 +25,11 @@
 
     def __init__(self, now: float) -> None:
         self.since = now  # in touch since then, without a gap
-        self.heard, self.version, self.digest, self.findings, self.finding = 0.0, 0, 0, 0, ""
+        self.heard = 0.0
+        self.version = 0
+        self.digest = 0
+        self.findings = 0
+        self.finding = ""
         self.told = (0, 0)  # version and digest of the last finding about it
 
 
@@ -55,7 +61,8 @@
         self.times: OrderedDict[int, tuple[float, int]] = OrderedDict()
         self.findings: deque[str] = deque(maxlen=MAX_FINDINGS)
         self.found = 0
-        self.checked_at = self.spread_s = 0.0
+        self.checked_at = 0.0
+        self.spread_s = 0.0
 
     def handle(self, now: float, event: Any) -> list[Finding]:
         """Handle an input; returns new findings."""
@@ -63,7 +70,8 @@
             return self._runs(now, event)
         if isinstance(event, VersionAcknowledged):
             if event.version > self.version:
-                self.version, self.spread_s = event.version, 0.0
+                self.version = event.version
+                self.spread_s = 0.0
                 self.times[event.version] = now, event.digest
                 if len(self.times) > MAX_VERSIONS:
                     self.times.popitem(last=False)
@@ -90,8 +98,11 @@
             node.since = now
         elif node.version < self.version <= e.version:
             self.spread_s = now - self.times[self.version][0]
-        node.heard, node.version, node.digest = now, e.version, e.digest
-        node.findings, node.finding = e.findings, e.finding[:MAX_TEXT_LENGTH]
+        node.heard = now
+        node.version = e.version
+        node.digest = e.digest
+        node.findings = e.findings
+        node.finding = e.finding[:MAX_TEXT_LENGTH]
         acknowledged = self.times.get(e.version)
         if acknowledged is not None and acknowledged[1] != e.digest and node.told != (e.version, e.digest):
             node.told = e.version, e.digest
--- a/gateway/drift/live_check.py
+++ b/gateway/drift/live_check.py
@@ -57,7 +57,9 @@
         compiled_config: CompiledConfig,
         previous: LiveCheck | None = None,
     ) -> None:
-        self.document, self.expected, self.compiled_config = document, expected, compiled_config
+        self.document = document
+        self.expected = expected
+        self.compiled_config = compiled_config
         self.watch = DriftScanner(compiled_config, expected)
         # routes used so far: expected values, and the prefix
         self.routes: dict[Route, tuple[ItemValues, bytes]] = {}
@@ -65,14 +67,16 @@
         self.left = self.every
         self.requests: int = previous.requests if previous else 0
         self.sampled: int = previous.sampled if previous else 0
-        self.odd = self.due = 0.0
+        self.odd = 0.0
+        self.due = 0.0
 
     def check(
         self, now: float, host: bytes, path: bytes, key: bytes, route_decision: RouteDecision
     ) -> CheckResult:
         """Check a decision: its route and tenant at each request, the whole decision at a sampled one."""
         self.requests += 1
-        r, tenant = route_decision.route, route_decision.tenant
+        r = route_decision.route
+        tenant = route_decision.tenant
         path_mismatch = False
         if r is not None:
             values, prefix = self.routes.get(r, UNKNOWN_ROUTE)
@@ -128,7 +132,8 @@
 
 def running_digest(compiled_config: CompiledConfig, expected: ExpectedDigests) -> int:
     """The digest of a compiled configuration; cheap if it is as expected."""
-    items, count = expected.items, 0
+    items = expected.items
+    count = 0
     for name, thing in iterate_items(compiled_config):
         item = items.get(name)
         if item is None or item.values != values_of(thing):
--- a/gateway/drift/metrics.py
+++ b/gateway/drift/metrics.py
@@ -26,14 +26,19 @@
 
 def render_metrics(metrics: Iterable[Metric], prefix: str = DRIFT_METRIC_PREFIX) -> bytes:
     """The body of the answer to a scrape; `prefix` is put before each name."""
-    lines, family, parts = list[str](), "", tuple[str, ...]()
+    lines = list[str]()
+    family = ""
+    parts = tuple[str, ...]()
     for name, help, value, labels in metrics:
         if value is None:
             continue
         if name not in (family, *parts):
-            family, parts, kind = name, (), "counter" if name.endswith("_total") else "gauge"
+            family = name
+            parts = ()
+            kind = "counter" if name.endswith("_total") else "gauge"
             if name.endswith("_bucket"):
-                family, kind = name.removesuffix("_bucket"), "histogram"
+                family = name.removesuffix("_bucket")
+                kind = "histogram"
                 parts = name, f"{family}_sum", f"{family}_count"
             lines.append(f"# HELP {prefix}{family} {help}\n# TYPE {prefix}{family} {kind}\n")
         lines.append(f"{prefix}{name}{f'{{{labels}}}' if labels else ''} {float(value):.12g}\n")
--- a/gateway/membership/backend_table.py
+++ b/gateway/membership/backend_table.py
@@ -24,7 +24,8 @@
     __slots__ = ("backend", "holders", "orphaned_at")
 
     def __init__(self, backend: Backend) -> None:
-        self.backend, self.orphaned_at = backend, 0.0
+        self.backend = backend
+        self.orphaned_at = 0.0
         self.holders: set[Address] = set()
 
 
@@ -38,7 +39,8 @@
     `max_rows` backends, and as many tombstones, are kept. Times are steady seconds of this process."""
 
     def __init__(self, grace: float = 6.0, max_rows: int = MAX_ROWS) -> None:
-        self.grace, self.max_rows = grace, max_rows
+        self.grace = grace
+        self.max_rows = max_rows
         self.rows: dict[str, BackendRow] = {}
         self.tombstones: dict[str, EndRecord] = {}
         self.by_address: dict[str, str] = {}
@@ -56,7 +58,8 @@
 
     def snapshot(self, now: float, source: Address, records: Iterable[Record]) -> list[BackendChange]:
         """Apply a snapshot of a source's log: what is not in it, the source no longer holds."""
-        still_held, out = set(), list[BackendChange]()
+        still_held = set()
+        out = list[BackendChange]()
         for record in records:
             if isinstance(record, LeaseRecord) and not record.relay:
                 still_held.add(record.backend.id)
@@ -78,7 +81,8 @@
 
     def _apply_lease(self, now: float, source: Address, record: LeaseRecord) -> list[BackendChange]:
         new = record.backend
-        tombstone, row = self.tombstones.get(new.id), self.rows.get(new.id)
+        tombstone = self.tombstones.get(new.id)
+        row = self.rows.get(new.id)
         if record.relay:
             self._release(now, source, new.id)
         if tombstone is not None and new.seq <= tombstone.seq:
@@ -102,7 +106,8 @@
                 self._forget_address(row.backend)
             if is_significant(now, row.backend, new):
                 out.append(BackendChanged(new))
-            row.backend, row.orphaned_at = new, now
+            row.backend = new
+            row.orphaned_at = now
         self.by_address[new.address] = new.id
         if not record.relay:
             row.holders.add(source)
@@ -132,7 +137,8 @@
         return self.drop(id) if is_over else []
 
     def _add_tombstone(self, now: float, id: str, seq: int) -> None:
-        tombstone, row = self.tombstones.get(id), self.rows.get(id)
+        tombstone = self.tombstones.get(id)
+        row = self.rows.get(id)
         if tombstone is not None and seq <= tombstone.seq:
             return
         if tombstone is None and len(self.tombstones) >= self.max_rows:
--- a/gateway/membership/change_log.py
+++ b/gateway/membership/change_log.py
@@ -26,8 +26,11 @@
     __slots__ = ("heard", "position", "sent", "sent_at", "zone")
 
     def __init__(self) -> None:
-        self.heard, self.position = 0.0, -1  # -1: needs a snapshot
-        self.sent, self.sent_at = 0, -1e9
+        # -1: needs a snapshot
+        self.heard = 0.0
+        self.position = -1
+        self.sent = 0
+        self.sent_at = -1e9
         self.zone = -1  # of an ingress; -1: the follower is none
 
 
@@ -37,7 +40,8 @@
 
     def __init__(self, rng: random.Random, zone: int = 0, max_followers: int = MAX_FOLLOWERS) -> None:
         self.id = rng.randrange(1, 1 << 32)
-        self.zone, self.max_followers = zone, max_followers
+        self.zone = zone
+        self.max_followers = max_followers
         self.position = 0
         self.quorate_until = inf  # a lease: it ends without notice, also while this process is paused
         self.lost: Collection[int] = ()  # hashes of the addresses of sources that are silent to this process
@@ -119,9 +123,11 @@
         return self.push(now)
 
     def _send(self, now: float, to: Address, f: _FollowerState) -> Send:
-        f.sent, f.sent_at = self.position, now
+        f.sent = self.position
+        f.sent_at = now
         if now != self._answers_at:
-            self._answers, self._answers_at = {}, now
+            self._answers = {}
+            self._answers_at = now
         note = self._answers.get(f.position)
         if note is None:
             note = self._answers[f.position] = self._answer(now, f.position)
@@ -130,10 +136,13 @@
     def _answer(self, now: float, position: int) -> pb.Message:
         note = pb.Message()
         answer = note.answer
-        answer.log, answer.position, answer.quorate = self.id, self.position, self.quorate(now)
+        answer.log = self.id
+        answer.position = self.position
+        answer.quorate = self.quorate(now)
         answer.lost.extend(self.lost)
         if position < 0:
-            answer.snapshot, answer.zone = True, self.zone + 1
+            answer.snapshot = True
+            answer.zone = self.zone + 1
             wire.fill_answer(
                 answer, now, (r for _, r in self.items.values() if not isinstance(r, ReleaseRecord))
             )
--- a/gateway/membership/controller.py
+++ b/gateway/membership/controller.py
@@ -58,10 +58,13 @@
         zone_numbers: Mapping[str, int] | None = None,
     ) -> None:
         self.address = address
-        self.log, self.table, self.follower = ChangeLog(rng, zone), BackendTable(), LogFollower()
+        self.log = ChangeLog(rng, zone)
+        self.table = BackendTable()
+        self.follower = LogFollower()
         self.leases = Leases(self.log, self.table, address, heartbeat)
         self.targets = HeartbeatTargets(address, zone, zone_numbers or {}, self.follower, rng)
-        self.value_fetcher, self.value_store = ValueFetcher(), ValueStore()
+        self.value_fetcher = ValueFetcher()
+        self.value_store = ValueStore()
         self.view = PeerView(address, CONTROLLER, zone, seeds, rng)
 
     def handle(self, now: float, event: Any) -> list[Any]:
--- a/gateway/membership/heartbeat_target.py
+++ b/gateway/membership/heartbeat_target.py
@@ -34,8 +34,11 @@
         follower: LogFollower,
         rng: random.Random,
     ) -> None:
-        self.address, self.zone, self.zone_numbers = address, zone, zone_numbers
-        self.follower, self.rng = follower, rng
+        self.address = address
+        self.zone = zone
+        self.zone_numbers = zone_numbers
+        self.follower = follower
+        self.rng = rng
         self.in_contact_at: float | None = None  # when this was last so, or the first tick
         self.suggested: dict[str, float] = {}  # by backend: when it was sent elsewhere; the oldest first
 
--- a/gateway/membership/leases.py
+++ b/gateway/membership/leases.py
@@ -39,7 +39,8 @@
     __slots__ = ("backend", "until")
 
     def __init__(self, backend: Backend, until: float) -> None:
-        self.backend, self.until = backend, until
+        self.backend = backend
+        self.until = until
 
 
 class _PendingCall(NamedTuple):
@@ -75,7 +76,9 @@
     acknowledged when a majority of the core has it in their copies of the log."""
 
     def __init__(self, log: ChangeLog, table: BackendTable, address: Address, heartbeat: float) -> None:
-        self.log, self.table, self.address = log, table, address
+        self.log = log
+        self.table = table
+        self.address = address
         self.length = 3 * heartbeat + LEASE_SLACK_S
         self.leases: dict[str, Lease] = {}
         self.core: Collection[Address] = ()
@@ -115,7 +118,8 @@
         )
         if lease is None or is_significant(now, lease.backend, backend):
             return self._publish_lease(now, backend)
-        lease.backend, lease.until = backend._replace(cold_until=lease.backend.cold_until), now + self.length
+        lease.backend = backend._replace(cold_until=lease.backend.cold_until)
+        lease.until = now + self.length
         return []
 
     def _publish_lease(self, now: float, backend: Backend) -> list[BackendChange]:
@@ -215,7 +219,8 @@
 
     def confirmed(self) -> list[Acknowledged]:
         """Acknowledge the calls whose changes a majority of the core has by now."""
-        out, still_pending = [], deque[_PendingCall]()
+        out = []
+        still_pending = deque[_PendingCall]()
         others = [m for m in self.core if m != self.address]
         for call in self.waiting:
             if 2 * (1 + self.log.confirmed(call.number, others)) > len(self.core):
--- a/gateway/membership/log_follower.py
+++ b/gateway/membership/log_follower.py
@@ -12,10 +12,9 @@
 
 HEARTBEAT_S = 0.4  # between two heartbeats to a source
 SLOW_HEARTBEAT_S = 1.0  # to a source that has been silent for five seconds
-FIRST_HEARTBEAT_S, STARTUP_S = (
-    0.1,
-    2.0,
-)  # to a source not heard yet, and for how long after it is first followed: it may be starting
+# to a source not heard yet, and for how long after it is first followed: it may be starting
+FIRST_HEARTBEAT_S = 0.1
+STARTUP_S = 2.0
 SILENT_S = 1.5  # a source not heard for so long counts as silent
 REQUEST_INTERVAL_S = 0.05  # between two requests for missing changes
 REPORT_S = 2.0  # after a change, and to silent sources, each heartbeat reports the running configuration;
@@ -49,9 +48,15 @@
     )
 
     def __init__(self, now: float) -> None:
-        self.log = self.position = 0
-        self.heard, self.since, self.due, self.asked_at = -1e9, now, now, -1e9
-        self.quorate, self.lost, self.zone = False, frozenset[int](), -1
+        self.log = 0
+        self.position = 0
+        self.heard = -1e9
+        self.since = now
+        self.due = now
+        self.asked_at = -1e9
+        self.quorate = False
+        self.lost = frozenset[int]()
+        self.zone = -1
         self.declared_lost = False
         self.last_heartbeats = (-1e9, -1e9)  # when the last two heartbeats went out
         self.synced_at = -1e9  # at that time nothing of its log was missing here
@@ -71,7 +76,8 @@
     the number of its zone (-1: not an ingress)."""
 
     def __init__(self, heartbeat_interval: float = HEARTBEAT_S, ingress_zone: int = -1) -> None:
-        self.heartbeat_interval, self.ingress_zone = heartbeat_interval, ingress_zone
+        self.heartbeat_interval = heartbeat_interval
+        self.ingress_zone = ingress_zone
         self.sources: dict[Address, _SourceState] = {}
         self.running_config: tuple[int, int, int, str] | None = None
         self.running_config_at = -1e9
@@ -81,7 +87,8 @@
     ) -> None:
         """Set the running configuration that heartbeats report: each for `REPORT_S`, then one in
         `REPORT_EVERY`."""
-        self.running_config, self.running_config_at = (version, digest, findings, finding), now
+        self.running_config = (version, digest, findings, finding)
+        self.running_config_at = now
 
     def follow(self, now: float, addresses: Iterable[Address]) -> list[Address]:
         """Follow exactly these sources from now on; returns those that are no longer followed."""
@@ -112,7 +119,9 @@
             else SLOW_HEARTBEAT_S
         )
         note = pb.Message()
-        note.follow.log, note.follow.position, note.follow.quiet = state.log, state.position, quiet
+        note.follow.log = state.log
+        note.follow.position = state.position
+        note.follow.quiet = quiet
         if not quiet:
             note.follow.zone = self.ingress_zone + 1
             state.last_heartbeats = state.last_heartbeats[1], now
@@ -130,7 +139,9 @@
         if state is None:
             return [], None
         state.declared_lost = False
-        state.heard, state.quorate, state.lost = now, answer.quorate, frozenset(answer.lost)
+        state.heard = now
+        state.quorate = answer.quorate
+        state.lost = frozenset(answer.lost)
         same_log = answer.log == state.log
         if same_log and answer.position <= state.position:
             state.mark_synced(answer)
@@ -141,7 +152,9 @@
             state.asked_at = now
             return [self._follow(now, sender, state)], None
         if answer.snapshot:
-            state.log, state.zone, state.config = answer.log, answer.zone - 1, 0
+            state.log = answer.log
+            state.zone = answer.zone - 1
+            state.config = 0
         state.position = answer.position
         state.mark_synced(answer)
         news = Update(sender, answer.snapshot, list(wire.records(answer, now)))
@@ -191,7 +204,9 @@
                 and now - last >= grace
                 and all(wire.address_hash(address) in j for j in suspicions)
             ):
-                state.declared_lost, state.log, state.position = True, 0, 0
+                state.declared_lost = True
+                state.log = 0
+                state.position = 0
                 found.append((address, last))
         return found
 
--- a/gateway/membership/messages.py
+++ b/gateway/membership/messages.py
@@ -6,8 +6,14 @@
 
 from gateway.state_machine import Address
 
-CORE, CONFIG, SHARD_MAP, INGRESSES = 1, 2, 3, 4  # kinds of values of which only the newest counts
-PROXY, CONTROLLER = 1, 2  # roles in a peer view
+# kinds of values of which only the newest counts
+CORE = 1
+CONFIG = 2
+SHARD_MAP = 3
+INGRESSES = 4
+# roles in a peer view
+PROXY = 1
+CONTROLLER = 2
 
 FencingToken = tuple[int, int]
 """Orders the values of one kind: (term, number); a configuration has (0, version)."""
--- a/gateway/membership/peer_view.py
+++ b/gateway/membership/peer_view.py
@@ -54,7 +54,9 @@
         rng: random.Random,
         size: int = VIEW_SIZE,
     ) -> None:
-        self.address, self.rng, self.size = address, rng, size
+        self.address = address
+        self.rng = rng
+        self.size = size
         self.own_entry = packed(address) << 16 | zone << 4 | role
         self.seeds: list[int] = []
         self.set_seeds(seeds)
@@ -63,10 +65,13 @@
         self.members_version: FencingToken = (0, 0)
         self.members: tuple[int, ...] = ()
         self.current_config = self.newest = ConfigVersion()
-        self.number = self.shuffle_count = 0
+        self.number = 0
+        self.shuffle_count = 0
         self.asked: int | None = None  # packed address that the last shuffle went to, until it answers
         self.sent_entries: list[int] = []
-        self.last_shuffle_at, self.due, self.expedite = -1e9, -1e9, False
+        self.last_shuffle_at = -1e9
+        self.due = -1e9
+        self.expedite = False
 
     def peers(self) -> list[PeerEntry]:
         """The entries of the present view."""
@@ -83,11 +88,9 @@
         """Set the members of the core, as known from elsewhere; returns whether they are newer."""
         if members_version <= self.members_version:
             return False
-        self.members_version, self.members, self.expedite = (
-            members_version,
-            tuple(map(packed, members))[:MAX_CORE_MEMBERS],
-            True,
-        )
+        self.members_version = members_version
+        self.members = tuple(map(packed, members))[:MAX_CORE_MEMBERS]
+        self.expedite = True
         return True
 
     def set_current_config(self, version: int, digest: bytes) -> None:
@@ -96,10 +99,8 @@
             version, int.from_bytes(digest[:DIGEST_BYTES].ljust(DIGEST_BYTES, b"\0"), "big")
         )
         self.expedite = self.expedite or current_config.version > self.newest.version
-        self.current_config, self.newest = (
-            current_config,
-            max(self.newest, current_config, key=lambda h: h.version),
-        )
+        self.current_config = current_config
+        self.newest = max(self.newest, current_config, key=lambda h: h.version)
 
     def tick(self, now: float) -> list[Send]:
         """Begin a shuffle if one is due."""
@@ -107,16 +108,15 @@
             return []
         self._drop_unresponsive()
         to = self._choose_partner()
-        self.due, self.last_shuffle_at, self.expedite = (
-            now + SHUFFLE_INTERVAL_S * self.rng.uniform(0.9, 1.1),
-            now,
-            False,
-        )
+        self.due = now + SHUFFLE_INTERVAL_S * self.rng.uniform(0.9, 1.1)
+        self.last_shuffle_at = now
+        self.expedite = False
         if to is None:
             return []
         self.number = self.number % 0xFFFF + 1
         self.entries = {entry: age + 1 for entry, age in self.entries.items()}
-        self.asked, self.sent_entries = to, self._sample_entries(self.size // 2 - 1, to)
+        self.asked = to
+        self.sent_entries = self._sample_entries(self.size // 2 - 1, to)
         note = pb.Message()
         self._fill_shuffle(
             note.shuffle_request,
@@ -127,7 +127,8 @@
 
     def _drop_unresponsive(self) -> None:
         """Drop the peer that didn't answer the last shuffle."""
-        gone, self.asked = self.asked, None
+        gone = self.asked
+        self.asked = None
         if gone is None:
             return
         self.unresponsive_peers = [a for a in self.unresponsive_peers if a != gone]
@@ -211,7 +212,8 @@
             if version:
                 out.append(ConfigAdvertised(version, digest.to_bytes(DIGEST_BYTES, "big"), holder))
                 if version > self.newest.version:
-                    self.newest, self.expedite = ConfigVersion(version, digest), True
+                    self.newest = ConfigVersion(version, digest)
+                    self.expedite = True
         return out
 
     def _merge_entries(
@@ -230,12 +232,14 @@
             if known is not None:
                 if age < self.entries[known]:
                     del self.entries[known]
-                    self.entries[packed_peer], entry_by_address[address] = age, packed_peer
+                    self.entries[packed_peer] = age
+                    entry_by_address[address] = packed_peer
                     out = [entry for entry in out if entry != known]
                 continue
             if len(self.entries) >= self.size:
                 if not out:
                     continue
                 del entry_by_address[out[0] >> 16], self.entries[out.pop(0)]
-            self.entries[packed_peer], entry_by_address[address] = age, packed_peer
+            self.entries[packed_peer] = age
+            entry_by_address[address] = packed_peer
             self.unresponsive_peers = [a for a in self.unresponsive_peers if a != address]
--- a/gateway/membership/proxy.py
+++ b/gateway/membership/proxy.py
@@ -43,19 +43,24 @@
     Follows the seeds (addresses of controllers) until it learns the members of the core."""
 
     def __init__(self, address: Address, zone: int, seeds: Sequence[Address], rng: random.Random) -> None:
-        self.seeds, self.zone = tuple(seeds), zone
-        self.follower, self.table = LogFollower(ingress_zone=zone), BackendTable()
-        self.value_fetcher, self.value_store = ValueFetcher(), ValueStore()
+        self.seeds = tuple(seeds)
+        self.zone = zone
+        self.follower = LogFollower(ingress_zone=zone)
+        self.table = BackendTable()
+        self.value_fetcher = ValueFetcher()
+        self.value_store = ValueStore()
         self.view = PeerView(address, PROXY, zone, seeds, rng)
         self.core: tuple[Address, ...] = ()
         self.last_heard: float | None = None
-        self.started = self.isolated = False
+        self.started = False
+        self.isolated = False
 
     def handle(self, now: float, event: Any) -> list[Any]:
         """Handle an input; returns the outputs. Raises TypeError for an event that isn't one of the inputs.
         `now` is in seconds of a steady clock."""
         if not self.started:
-            self.started, self.last_heard = True, now
+            self.started = True
+            self.last_heard = now
             self._follow(now)
         if isinstance(event, Received):
             return self._received(now, event.sender, event.note)
--- a/gateway/membership/value_fetch.py
+++ b/gateway/membership/value_fetch.py
@@ -71,13 +71,15 @@
         pending.sources[source] += 2 * FETCH_RETRY_S + (
             now - pending.sources[source]
         )  # the other sources are asked first
-        pending.asked, pending.asked_at = source, now
+        pending.asked = source
+        pending.asked_at = now
         return [self.ask(kind, pending.fencing_token, source)]
 
     def ask(self, kind: int, fencing_token: FencingToken, source: Address) -> Send:
         """The request to a source for this value or a newer one."""
         note = pb.Message()
-        note.ask.kind, (note.ask.term, note.ask.number) = kind, fencing_token
+        note.ask.kind = kind
+        note.ask.term, note.ask.number = fencing_token
         return Send(source, note)
 
     def accept(self, kind: int, fencing_token: FencingToken, data: bytes, digest: bytes) -> list[Update]:
--- a/gateway/membership/wire.py
+++ b/gateway/membership/wire.py
@@ -122,7 +122,8 @@
         if isinstance(record, LeaseRecord):
             _fill_lease(out.leased, now, record, names)
         elif isinstance(record, EndRecord):
-            out.ended.id, out.ended.after = record.id, 0 if record.seq >= FINAL_SEQUENCE else record.seq + 1
+            out.ended.id = record.id
+            out.ended.after = 0 if record.seq >= FINAL_SEQUENCE else record.seq + 1
         elif isinstance(record, ReleaseRecord):
             out.released = record.id
         else:
@@ -132,18 +133,24 @@
 
 def _fill_lease(out: pb.LeaseRecord, now: float, record: LeaseRecord, names: dict[str, int]) -> None:
     b = record.backend
-    out.id, out.address, out.capacity, out.seq = b.id, b.address, b.capacity, b.seq
+    out.id = b.id
+    out.address = b.address
+    out.capacity = b.capacity
+    out.seq = b.seq
     out.service = names.setdefault(b.service, len(names))
     out.zone = names.setdefault(b.zone, len(names))
     out.generation = names.setdefault(b.generation, len(names))
-    out.draining, out.relay = b.draining, record.relay
+    out.draining = b.draining
+    out.relay = record.relay
     if b.cold_until > now:
         out.cold_ms = int(min(1000 * (b.cold_until - now), 0xFFFFFFFF))
     out.age_ds = min(max(0, round(10 * (now - b.since))), 0xFFFFFFFF)
 
 
 def _fill_update(out: pb.Update, record: ValueRecord) -> None:
-    out.kind, (out.term, out.number), out.digest = record.kind, record.fencing_token, record.digest
+    out.kind = record.kind
+    out.term, out.number = record.fencing_token
+    out.digest = record.digest
     if record.data is None or len(record.data) > INLINE_BYTES:
         out.large = True
     else:
@@ -185,11 +192,9 @@
     data = value_record.data or b""
     note = pb.Message()
     value = note.value
-    value.kind, (value.term, value.number), value.digest = (
-        value_record.kind,
-        value_record.fencing_token,
-        value_record.digest,
-    )
+    value.kind = value_record.kind
+    value.term, value.number = value_record.fencing_token
+    value.digest = value_record.digest
     value.packed = len(data) > COMPRESS_MIN_BYTES
     value.value = zlib.compress(data, 6) if value.packed else data
     return note
--- a/gateway/programs/control_api.py
+++ b/gateway/programs/control_api.py
@@ -18,7 +18,8 @@
 from gateway.runtime.http_listener import HttpCall, Reply
 from gateway.state_machine import Address
 
-CONFIG, BACKENDS = "/-/config", "/-/backends/"
+CONFIG = "/-/config"
+BACKENDS = "/-/backends/"
 JSON = b"Content-Type: application/json\r\n"
 ORDER_PATIENCE_S = 0.7  # how long an order waits for a leader, for its base, and for another attempt
 NO_LEADER_TIMEOUT_S = 1.5  # without a leader for so long orders don't wait: an election takes less
@@ -70,7 +71,8 @@
     """Answers the calls; one order is in flight at a time."""
 
     def __init__(self, core: ConsensusCore, membership: Callable[[Heartbeat | Deregistration], None]) -> None:
-        self.core, self.membership = core, membership
+        self.core = core
+        self.membership = membership
         self.orders: deque[Order] = deque()
         self.ahead: list[Order] = []  # postponed: their base isn't in force yet
         self.ahead_of = 0  # the version in force when they were postponed
@@ -80,7 +82,8 @@
         self.refused_at = float("-inf")  # last refused proposal: the next one waits for a later `now`
         self.pending_heartbeats: dict[int, Reply] = {}
         self.led: float | None = None  # when a leader was last known, here or elsewhere
-        self.completed = self.refused = 0
+        self.completed = 0
+        self.refused = 0
 
     def answer(self, now: float, http_call: HttpCall, reply: Reply) -> None:
         """Handle a call; it may be answered later."""
@@ -105,7 +108,8 @@
 
         Without a leader for a while they get 503 at once: this process may be cut off.
         """
-        leads, leader = self.core.leads(now), self.core.leader_control()
+        leads = self.core.leads(now)
+        leader = self.core.leader_control()
         if leads or leader is not None or self.led is None:
             self.led = now
         if self.out is not None and now - self.out_at > PROPOSAL_TIMEOUT_S:
@@ -131,7 +135,8 @@
     def requeue_postponed(self, now: float) -> None:
         """Queue postponed orders again once a version was committed, or after `ORDER_PATIENCE_S`."""
         passed = self.core.config_in_force()[0] != self.ahead_of or not self.core.leads(now)
-        waiting, self.ahead = self.ahead, []
+        waiting = self.ahead
+        self.ahead = []
         for order in waiting:
             (self.orders if passed or now - order.came > ORDER_PATIENCE_S else self.ahead).append(order)
 
@@ -153,7 +158,8 @@
         out = InFlightOrder(
             self.token, order, decision.body, decision.config_state, decision.config_state.encode()
         )
-        self.out, self.out_at = out, now
+        self.out = out
+        self.out_at = now
         config_events.order_taken(version + 1, out.config_state.generation)
         self.core.propose(self.token, out.value, version)
 
--- a/gateway/programs/controller_node.py
+++ b/gateway/programs/controller_node.py
@@ -61,7 +61,9 @@
         rng: random.Random,
         began: float | None = None,
     ) -> None:
-        self.driver, self.clock, self.rng = driver, clock, rng
+        self.driver = driver
+        self.clock = clock
+        self.rng = rng
         self.me = settings.own_address("controller")
         self.control_port = (settings.network.listen.control or "").rpartition(":")[2]
         seeds = [settings.controller_at(s) for s in settings.network.seeds]
@@ -86,12 +88,14 @@
         self.shard_assigner = ShardAssigner()
         self.holder = ShardOwner(settings.terms.bounds.quota_window_s, rng)
         self.holder_report = HolderReport(self.me, self.holder)
-        self.config_state, self.version = ConfigState(), 0
+        self.config_state = ConfigState()
+        self.version = 0
         self.expected: ExpectedDigests | None = None
         self.published_core: Any = None
         # as last published: term, zone and address of each
         self.ingresses: tuple[int, list[tuple[int, Address]]] = 0, []
-        self.ingresses_at, self.told = -PUBLISH_INTERVAL_S, 0
+        self.ingresses_at = -PUBLISH_INTERVAL_S
+        self.told = 0
         self.control = Control(self, lambda call: self.handle_membership(self.membership, call))
         bounds = settings.terms.bounds
         self.fleet_monitor = FleetMonitor(
@@ -213,7 +217,8 @@
         except ValueError as error:
             log.error("version %d can't be read: %s", news.version, error)
             return
-        first, self.version = not self.version, news.version
+        first = not self.version
+        self.version = news.version
         document = self.config_state.document
         if document is None:
             return
@@ -239,7 +244,8 @@
         """Answer an HTTP call to `control`."""
         path = http_call.path.partition("?")[0]
         if http_call.method == "GET" and path in (status_report.CORE, status_report.LEASES):
-            now, core = self.clock(), path == status_report.CORE
+            now = self.clock()
+            core = path == status_report.CORE
             told = status_report.core(self.raft, now) if core else status_report.leases(self.membership, now)
             return reply(200, JSON, json.dumps(told).encode())
         leader = {"leader": self.raft.leader, "quorate": self.membership.log.quorate(self.clock())}
@@ -267,7 +273,8 @@
 
     def publish_leadership(self, now: float) -> None:
         """Tell the shard assigner whether this process leads, and which controllers are live."""
-        raft, leader_role = self.raft, self.raft.leader_role
+        raft = self.raft
+        leader_role = self.raft.leader_role
         term, since = (raft.term, raft.leaderless_since) if leader_role is not None else (0, None)
         self.handle_quota(
             self.shard_assigner, quota.LeadershipChange(term, raft.has_leader_lease(now), since)
@@ -279,14 +286,17 @@
 
     def publish_ingresses(self, now: float) -> None:
         """Publish the list of proxies when it changes, and in each term; at most every 0.5 s."""
-        term, ingresses = self.raft.term, self.membership.log.ingresses(now)
+        term = self.raft.term
+        ingresses = self.membership.log.ingresses(now)
         if (
             not ingresses
             or (term, ingresses) == self.ingresses
             or now < self.ingresses_at + PUBLISH_INTERVAL_S
         ):
             return
-        self.ingresses, self.ingresses_at, self.told = (term, ingresses), now, self.told + 1
+        self.ingresses = (term, ingresses)
+        self.ingresses_at = now
+        self.told = self.told + 1
         data = membership_codec.encode_ingresses(ingresses)
         self.handle_membership(
             self.membership, membership.Publish(membership.INGRESSES, (term, self.told), data)
@@ -295,7 +305,8 @@
     def publish_core(self, now: float) -> None:
         """Publish the core's members and the leader to the other planes when they change."""
         raft = self.raft
-        known, until = raft.value, raft.quorum_contact_until()
+        known = raft.value
+        until = raft.quorum_contact_until()
         quorate = now < until
         self.handle_membership(self.membership, membership.SetQuorate(until))
         members = tuple(m.address for m in (raft.members if known is None else known.members))
--- a/gateway/programs/drift_monitor.py
+++ b/gateway/programs/drift_monitor.py
@@ -59,14 +59,17 @@
     """
 
     def __init__(self, me: Address, node: Node, bounds: Bounds) -> None:
-        self.me, self.node = me, node
+        self.me = me
+        self.node = node
         self.drift_detector = DriftDetector(bounds.apply_s, bounds.revoke_s if bounds.revoke_closed else None)
         self.live: LiveCheck | None = None
         self.value = b""
-        self.ready, self.refusing = True, ""
+        self.ready = True
+        self.refusing = ""
         self.refetching = False  # the held version is being fetched again
         self.turned_back = 0
-        self.look_at = self.quotas_at = 0.0
+        self.look_at = 0.0
+        self.quotas_at = 0.0
 
     # Events of the proxy.
 
@@ -110,7 +113,8 @@
         compiled_config: CompiledConfig,
     ) -> None:
         """A version was applied here; `acknowledged` is its digest by the core (0: unknown)."""
-        self.value, self.refetching = value, False
+        self.value = value
+        self.refetching = False
         self.live = LiveCheck(document, expected, compiled_config, self.live)
         running = running_digest(compiled_config, expected)
         self.node.holds(version, running, self.drift_detector.found, self.latest())
@@ -197,7 +201,8 @@
 
     def status(self) -> dict[str, Any]:
         """The JSON object of `GET /-/status`. Times are seconds."""
-        i, live = self.drift_detector, self.live
+        i = self.drift_detector
+        live = self.live
         return {
             "node": self.me,
             "role": "proxy",
@@ -218,7 +223,8 @@
 
     def metrics(self) -> list[Metric]:
         """The metrics of `GET /-/metrics`."""
-        i, live = self.drift_detector, self.live
+        i = self.drift_detector
+        live = self.live
         return [
             Metric("version", "Version in force.", i.version),
             Metric("newest_version", "Newest version that is known of.", max(i.newest, i.version)),
--- a/gateway/programs/fleet_monitor.py
+++ b/gateway/programs/fleet_monitor.py
@@ -17,7 +17,8 @@
 from gateway.runtime.http_listener import HttpCall, Reply
 from gateway.state_machine import Address
 
-STATUS, METRICS = "/-/status", "/-/metrics"
+STATUS = "/-/status"
+METRICS = "/-/metrics"
 JSON = b"Content-Type: application/json\r\n"
 CHECK_INTERVAL_S = 1.0  # between two checks of the quotas in force
 MAX_NODES_SHOWN = 1024  # nodes in one answer
@@ -35,8 +36,11 @@
     def __init__(
         self, me: Address, apply_s: float, span_s: float, push_allowances: Callable[[], None]
     ) -> None:
-        self.me, self.span_s, self.push_allowances = me, span_s, push_allowances
-        self.fleet, self.drift_detector = FleetStatus(apply_s), DriftDetector(apply_s)
+        self.me = me
+        self.span_s = span_s
+        self.push_allowances = push_allowances
+        self.fleet = FleetStatus(apply_s)
+        self.drift_detector = DriftDetector(apply_s)
         self.quota_windows: Windows = {}
         self.look_at = 0.0
 
@@ -110,7 +114,8 @@
 
     def status(self, now: float) -> dict[str, Any]:
         """The JSON object of `GET /-/status`: all known nodes, and findings reported or made here."""
-        port, i = self.me.rpartition(":")[2], self.drift_detector
+        port = self.me.rpartition(":")[2]
+        i = self.drift_detector
         nodes = [
             {
                 "node": n.node,
--- a/gateway/programs/proxy_node.py
+++ b/gateway/programs/proxy_node.py
@@ -70,7 +70,9 @@
         upstream: Upstream,
         rng: random.Random,
     ) -> None:
-        self.driver, self.loop, self.clock = driver, loop, clock
+        self.driver = driver
+        self.loop = loop
+        self.clock = clock
         bounds = settings.terms.bounds
         self.me = settings.own_address("proxy")
         seeds = [settings.controller_at(s) for s in settings.network.seeds]
@@ -177,7 +179,8 @@
         elif news.kind == membership.SHARD_MAP:
             self.handle_quota(quota.ShardMap(news.data))
         elif news.kind == membership.CONFIG:
-            version, again = news.fencing_token[1], self.drift_monitor.refetching
+            version = news.fencing_token[1]
+            again = self.drift_monitor.refetching
             if version > self.version or (again and version == self.version):
                 self.apply_config(version, news.data, int.from_bytes(news.digest), afresh=again)
 
@@ -190,7 +193,9 @@
             return self.drift_monitor.unreadable(version, str(error))
         if config_state.document is None:
             return
-        before, self.config_state, self.version = self.version, config_state, version
+        before = self.version
+        self.config_state = config_state
+        self.version = version
         compiled_config = self.compiled_config = CompiledConfig(
             config_state.document, None if afresh else self.compiled_config
         )
@@ -229,7 +234,8 @@
 
     def in_force(self, document: Document) -> list[Difference]:
         """Where limits and rate limit windows in force differ from the document."""
-        limits, held_to = document.limits, self.driver.limits()
+        limits = document.limits
+        held_to = self.driver.limits()
         found = [
             Difference(f"limits {name}", str(was), str(to))
             for name, was, to in zip(limits._fields, held_to, limits, strict=False)
--- a/gateway/programs/quota_report.py
+++ b/gateway/programs/quota_report.py
@@ -37,7 +37,8 @@
     """Logs each 5 s what has changed since the last record; an idle process logs nothing."""
 
     def __init__(self, me: Address) -> None:
-        self.me, self.due = me, 0.0
+        self.me = me
+        self.due = 0.0
 
     def tick(self, now: float) -> None:
         """Time has passed: log a record if it is due."""
@@ -68,7 +69,8 @@
     def changes(self, now: float) -> dict[str, Any]:
         """`charged`: by tenant and precedence the counts by `DECISION_KINDS`; `times`: by `SPLIT` the counts
         by number of the bucket; `back`: units refunded."""
-        statistics, charged = self.quota_client.statistics, dict[str, dict[int, list[int]]]()
+        statistics = self.quota_client.statistics
+        charged = dict[str, dict[int, list[int]]]()
         for key, counts in statistics.decided.items():
             before = self.decided.get(key)
             if before != counts:
@@ -115,7 +117,8 @@
             for way, n in zip(DECISION_KINDS, totals, strict=True)
         ]
         found.append(Metric("given_back_total", "Units given back.", statistics.back))
-        name, help = "charge_seconds", "Time that the charge added to a request."
+        name = "charge_seconds"
+        help = "Time that the charge added to a request."
         for way, counts, seconds in zip(SPLIT, statistics.times, statistics.seconds, strict=True):
             label = f'way="{way}"'
             sums = list(accumulate(counts))
@@ -186,7 +189,8 @@
 
     def metrics(self, now: float) -> list[Metric]:
         """What remains of each counter, and how far views are from it."""
-        found, labels = self.compared(now), []
+        found = self.compared(now)
+        labels = []
         for c in found:
             name = c.tenant.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
             labels.append((f'tenant="{name}"', c))
--- a/gateway/programs/settings_reload.py
+++ b/gateway/programs/settings_reload.py
@@ -30,7 +30,9 @@
     def __init__(
         self, settings: Settings, file: SettingsFile, seeds: Callable[[tuple[Address, ...]], object]
     ) -> None:
-        self.settings, self.file, self.seeds = settings, file, seeds
+        self.settings = settings
+        self.file = file
+        self.seeds = seeds
 
     def look(self) -> None:
         """Read the file if it has changed since the last check."""
@@ -44,7 +46,8 @@
             for fault in found.err_value:
                 log.warning("settings stay as they are: %s", fault)
             return
-        former, self.settings = self.settings, found.ok_value
+        former = self.settings
+        self.settings = found.ok_value
         changes = differences(former, self.settings)
         if waiting := [name for name in changes if name not in RELOADABLE]:
             log.info("changed settings that need a restart: %s", ", ".join(waiting))
--- a/gateway/programs/startup.py
+++ b/gateway/programs/startup.py
@@ -20,7 +20,9 @@
 from gateway.runtime.log_ring import LogRing
 from gateway.runtime.settings import Settings, SettingsFile
 
-CONSENSUS, MEMBERSHIP, QUOTA = 1, 2, 3
+CONSENSUS = 1
+MEMBERSHIP = 2
+QUOTA = 3
 """Numbers of the planes on the wire."""
 
 COUNTS = "--counts"
--- a/gateway/programs/status_report.py
+++ b/gateway/programs/status_report.py
@@ -9,13 +9,15 @@
 from gateway.consensus.raft import RaftNode
 from gateway.membership.controller import ControllerMembership
 
-CORE, LEASES = "/-/core", "/-/leases"
+CORE = "/-/core"
+LEASES = "/-/leases"
 Row = dict[str, Any]
 
 
 def core(raft: RaftNode, now: float) -> Row:
     """The members by the newest entry here, as JSON. Only the leader knows when they were last heard."""
-    entry, leader_role = raft.replica.entry, raft.leader_role
+    entry = raft.replica.entry
+    leader_role = raft.leader_role
     peers = leader_role.peers.values() if leader_role is not None else ()
     heard = {p.disk: round(now - p.heard, 3) for p in peers if p.heard > 0}
     return {
@@ -43,7 +45,8 @@
 
 def _further_losses_now(raft: RaftNode, now: float) -> int | None:
     """How many more disks may be lost right now, as far as the leader knows; None from other members."""
-    replica, leader_role = raft.replica, raft.leader_role
+    replica = raft.replica
+    leader_role = raft.leader_role
     if leader_role is None or replica.committed_entry is None:
         return None
     position = replica.committed_entry.position
--- a/gateway/proxy/decisions.py
+++ b/gateway/proxy/decisions.py
@@ -99,14 +99,18 @@
         budget: Callable[[int], RetryBudget],
         rng: random.Random,
     ) -> None:
-        self.quota_client, self.terms, self.budget, self.rng = quota_client, terms, budget, rng
+        self.quota_client = quota_client
+        self.terms = terms
+        self.budget = budget
+        self.rng = rng
         self.services: dict[str, Service] = {}
         self.waiting: dict[
             int, PendingCharge | None
         ] = {}  # by the attempt number of the charge; None: the client has disconnected
         self.homes: dict[str, Service] = {}  # by request id, the service that handles it
         self.charged: set[str] = set()  # of these, the requests whose unit can still be refunded
-        self.proxy_peers, self.instances = ProxyPeers(terms.instances, 0, 0), terms.instances
+        self.proxy_peers = ProxyPeers(terms.instances, 0, 0)
+        self.instances = terms.instances
         self.grown_at: float | None = None  # when the number of ingresses last increased
         self.customers: dict[str, Customer] = {}
         self.refusals = Refusals()
@@ -142,7 +146,8 @@
         """Charge one unit to the tenant's quota before the request is sent on; without a limit, send it."""
         self.refusals.request_received(now)
         about: RequestContext = r.about
-        route, tenant = about.route, about.tenant
+        route = about.route
+        tenant = about.tenant
         service = self.service(now, route.pick_service(self.rng.random()))
         cls = services.class_of(route)
         label = tenant.label if tenant is not None else ""
--- a/gateway/proxy/ingress.py
+++ b/gateway/proxy/ingress.py
@@ -57,7 +57,9 @@
     """The HTTP ingress of one proxy: request matching, headers, final answers, and its backends."""
 
     health_path = None
-    label, ends, streams = b"attempt-id", ResponseEnd(read_until_close=True), True
+    label = b"attempt-id"
+    ends = ResponseEnd(read_until_close=True)
+    streams = True
     withheld_headers = frozenset((b"authorization", b"tenant", b"deadline-ms", b"target-instance"))
 
     def __init__(
@@ -70,7 +72,9 @@
         steady: Callable[[], float] = monotonic,
     ) -> None:
         super().__init__(loop, terms, decisions, upstream)
-        self.send, self.steady, self.refusals = send, steady, decisions.refusals
+        self.send = send
+        self.steady = steady
+        self.refusals = decisions.refusals
         self.movable = decisions.movable
         self.compiled_config: CompiledConfig | None = None
         self.patience: dict[str, float] = {}  # by route: seconds that clients give a first try
@@ -97,7 +101,8 @@
                 if field in told:  # a reader of the other one would take it for another request
                     return ImmediateResponse(400, f"{field.decode()}: more than one", close=True)
                 told[field] = value
-        host, name = told.get(b"host", b""), told.get(b"attempt-id", b"")
+        host = told.get(b"host", b"")
+        name = told.get(b"attempt-id", b"")
         key = key_of(told.get(b"authorization", b""))
         patience = read_number(told[b"deadline-ms"]) / 1000 if b"deadline-ms" in told else MAX_DEADLINE_S
         route_decision = self.compiled_config.resolve_request(host, url, key)
@@ -113,7 +118,8 @@
             )
         if not name or not name.isascii():
             return ImmediateResponse(400, "attempt-id: missing", close=True)
-        route, tenant = route_decision.route, route_decision.tenant
+        route = route_decision.route
+        tenant = route_decision.tenant
         self.effects[route.label] = io.Effect.SAFE if route.safe else io.Effect.UNSAFE
         self.aims[route.label] = route.target_latency
         return io.Request(
--- a/gateway/proxy/refusals.py
+++ b/gateway/proxy/refusals.py
@@ -7,10 +7,9 @@
 
 from gateway.quota.interface import OVER_ALLOWANCE
 
-WARNING_MIN_COUNT, WARNING_MIN_RATIO = (
-    5,
-    0.25,
-)  # requests of one second refused for other causes than their allowance: at least so many, and of all
+# requests of one second refused for other causes than their allowance: at least so many, and of all
+WARNING_MIN_COUNT = 5
+WARNING_MIN_RATIO = 0.25
 
 log = logging.getLogger("gateway.proxy.refusals")
 
@@ -21,7 +20,8 @@
     __slots__ = ("causes", "requests", "until")
 
     def __init__(self) -> None:
-        self.requests, self.until = 0, float("-inf")
+        self.requests = 0
+        self.until = float("-inf")
         self.causes = Counter[str]()
 
     def request_received(self, now: float) -> None:
@@ -48,4 +48,5 @@
             told = ", ".join(f"{why} {n}" for why, n in sorted(self.causes.items()) if n)
             log.log(level, "of %d requests in a second turned back: %s", self.requests, told)
             self.causes.clear()
-        self.requests, self.until = 0, now + 1.0
+        self.requests = 0
+        self.until = now + 1.0
--- a/gateway/proxy/retry_budget.py
+++ b/gateway/proxy/retry_budget.py
@@ -35,12 +35,15 @@
     )
 
     def __init__(self, ratio: float, slack: float, window: float, ingresses: int) -> None:
-        self.ratio, self.slack, self.window = SAFETY_FACTOR * ratio, slack / 2, window
+        self.ratio = SAFETY_FACTOR * ratio
+        self.slack = slack / 2
+        self.window = window
         self.ingresses = ingresses
         self.shared_at: float | None = None
         self.grown_at = float("inf")
         self.seconds: deque[list[float]] = deque()  # second, requests, repeats
-        self.requests = self.repeats = 0.0
+        self.requests = 0.0
+        self.repeats = 0.0
 
     def share_among(self, now: float, ingresses: int) -> None:
         """Divide the slack among this number of ingresses: a higher number counts at once, a lower one only
@@ -48,9 +51,11 @@
         if self.shared_at is None or ingresses > self.ingresses:
             self.grown_at = now
         if self.shared_at is None or ingresses >= self.ingresses:
-            self.ingresses, self.shared_at = max(self.ingresses, ingresses), now
+            self.ingresses = max(self.ingresses, ingresses)
+            self.shared_at = now
         elif now - self.shared_at >= SHRINK_DELAY_S:
-            self.ingresses, self.shared_at = ingresses, now
+            self.ingresses = ingresses
+            self.shared_at = now
 
     def count(self, now: float, repeat: bool) -> None:
         """Count an attempt: a request's first one, or a retry (`repeat`)."""
--- a/gateway/proxy/service.py
+++ b/gateway/proxy/service.py
@@ -17,19 +17,23 @@
 from ingress.routing import Routing
 
 INITIAL_LATENCY_RATIO = 0.3  # of its target latency: the assumed latency of a route before the first response
-COLD_S, COLD_CAPACITY = 3.0, 0.5  # duration of a backend's slow start, and its relative capacity then
+# duration of a backend's slow start, and its relative capacity then
+COLD_S = 3.0
+COLD_CAPACITY = 0.5
 MAX_REJECTION_KEYS = 512  # tenants and routes whose rejection rates at backends are kept
-LOAD_FRESH_S, LOAD_STALE_S = (
-    0.15,
-    8.0,
-)  # time constants: of a reported load going back to the mean, and of that going back to the usual one
-MEAN_STEP, USUAL_STEP = 0.2, 0.02
-WORK_STEP, RATIO_STEP = 0.02, 0.05
-USUAL_WORK, MAX_FOREIGN_WORK = 0.15, 6.0  # seconds; highest ratio of the mean work to a route's own
-FOREIGN_BACKEND_COST, REMOTE_ZONE_COST = (
-    1.15,
-    1.1,
-)  # cost factors of a backend that isn't one of this ingress's own, and of one in another zone
+# time constants: of a reported load going back to the mean, and of that going back to the usual one
+LOAD_FRESH_S = 0.15
+LOAD_STALE_S = 8.0
+MEAN_STEP = 0.2
+USUAL_STEP = 0.02
+WORK_STEP = 0.02
+RATIO_STEP = 0.05
+# seconds; highest ratio of the mean work to a route's own
+USUAL_WORK = 0.15
+MAX_FOREIGN_WORK = 6.0
+# cost factors of a backend that isn't one of this ingress's own, and of one in another zone
+FOREIGN_BACKEND_COST = 1.15
+REMOTE_ZONE_COST = 1.1
 SWEEP_INTERVAL_S = 0.05  # between checks of silent backends and queued requests
 
 
@@ -62,11 +66,14 @@
     __slots__ = ("mean", "told", "at")
 
     def __init__(self, mean: float) -> None:
-        self.mean, self.told, self.at = mean, mean, 0.0
+        self.mean = mean
+        self.told = mean
+        self.at = 0.0
 
     def tell(self, now: float, told: float) -> None:
         """Take a reported number of requests of other ingresses."""
-        self.told, self.at = told, now
+        self.told = told
+        self.at = now
         self.mean += MEAN_STEP * (told - self.mean)
 
     def expect(self, now: float, usual_foreign_load: float) -> float:
@@ -112,7 +119,9 @@
     ) -> None:
         super().__init__(terms, (), (), rng, now)
         self.rejection_share = RejectionRates()
-        self.name, self.budget, self.give_up = name, budget, give_up
+        self.name = name
+        self.budget = budget
+        self.give_up = give_up
         self.others: dict[str, ForeignLoad] = {}
         self.step = RATIO_STEP
         self.work = USUAL_WORK  # mean seconds of work of any request here
@@ -148,7 +157,8 @@
 
     def review(self, now: float) -> None:
         """Send the queued requests that can be sent now, and refuse those that have become late."""
-        held, self.queue = self.queue, []
+        held = self.queue
+        self.queue = []
         for f in held:
             if f.req.id in self.active_requests:
                 super().send(now, f)
--- a/gateway/quota/client_registry.py
+++ b/gateway/quota/client_registry.py
@@ -24,7 +24,8 @@
     __slots__ = ("earlier", "heard", "incarnation", "left_at", "shares_until", "told")
 
     def __init__(self, now: float, incarnation: int) -> None:
-        self.heard, self.incarnation = now, incarnation
+        self.heard = now
+        self.incarnation = incarnation
         self.earlier: deque[int] = deque(maxlen=MAX_EARLIER)  # earlier incarnations at this address
         self.shares_until = 0.0  # when its last share from this owner expires
         self.told = 0  # shards owned here whose shares it has reported
@@ -67,7 +68,9 @@
             # What the earlier incarnation reported stays valid: these shards have been owned here since, so
             # the new one can't have a share of their tenants from another owner.
             client.earlier.append(client.incarnation)
-            client.incarnation, client.left_at, client.shares_until = incarnation, None, 0.0
+            client.incarnation = incarnation
+            client.left_at = None
+            client.shares_until = 0.0
             self.on_restart(address)
         elif client.left_at is not None:
             return client  # a late or duplicated message
@@ -109,7 +112,8 @@
 
     def note_left(self, now: float, address: Address, client: ClientState) -> None:
         """Note that a quota client has returned all its shares. It stays known as long as others count it."""
-        client.left_at, client.shares_until = now, 0.0
+        client.left_at = now
+        client.shares_until = 0.0
         self.silent.pop(address, None)
         self.epoch += 1
 
--- a/gateway/quota/local_quota.py
+++ b/gateway/quota/local_quota.py
@@ -48,25 +48,41 @@
     )
 
     def __init__(self, label: str, number: int, window: Window, threshold: float) -> None:
-        self.label, self.number, self.window = label, number, window
+        self.label = label
+        self.number = number
+        self.window = window
         self.threshold = threshold
-        self.share, self.until = 0, 0.0  # parts of the allowance, and the share's expiry
+        # parts of the allowance, and the share's expiry
+        self.share = 0
+        self.until = 0.0
         self.share_owner: Address | None = None  # the owner that granted the share
-        self.part, self.sent = 0, 0.0  # the share's number, and when the charge for it was sent
-        self.accrued_from, self.over_demand = 0.0, -1e9  # from when units accrue; last verdict of over-demand
+        # the share's number, and when the charge for it was sent
+        self.part = 0
+        self.sent = 0.0
+        # from when units accrue; last verdict of over-demand
+        self.accrued_from = 0.0
+        self.over_demand = -1e9
         self.spent = 0  # units admitted by share
-        self.remaining, self.remaining_at = 0, -1e9  # by the newest verdict, and when that came
-        self.exhausted_until, self.ends = 0.0, 0.0  # nothing is left until then; end of the owner's window
+        # by the newest verdict, and when that came
+        self.remaining = 0
+        self.remaining_at = -1e9
+        # nothing is left until then; end of the owner's window
+        self.exhausted_until = 0.0
+        self.ends = 0.0
         self.refused: dict[int, int] = {}  # requests refused locally and not reported yet, by precedence
 
     def note(self, now: float, frm: Address, sent: float, verdict: Verdict) -> None:
         """Take the verdict of an open count on a charge that was sent at `sent`."""
         if verdict.share and sent >= self.sent:
-            self.share_owner, self.part, self.share, self.sent = frm, verdict.share, verdict.part, sent
+            self.share_owner = frm
+            self.part = verdict.share
+            self.share = verdict.part
+            self.sent = sent
         if self.share_owner == frm and self.until < sent + SHARE_S:
             self.until = sent + SHARE_S
         length, allowance = self.window
-        self.remaining, self.remaining_at = verdict.remaining, now
+        self.remaining = verdict.remaining
+        self.remaining_at = now
         if verdict.over_demand or verdict.code == Code.OVER:
             self.over_demand = now
         self.ends = now + verdict.wait_ms / 1000
@@ -88,7 +104,9 @@
 
     def give_up_share(self) -> None:
         """Drop the share, which is returned to its owner."""
-        self.share, self.until, self.share_owner = 0, 0.0, None
+        self.share = 0
+        self.until = 0.0
+        self.share_owner = None
 
     def accrues_from(self, now: float) -> float:
         """From when the share's units accrue, in seconds after now; of accrued units only some count."""
--- a/gateway/quota/owner_links.py
+++ b/gateway/quota/owner_links.py
@@ -26,9 +26,14 @@
     __slots__ = ("address", "heard", "misses", "number", "shards", "sent", "told", "told_at", "viewed_at")
 
     def __init__(self, address: Address) -> None:
-        self.address, self.shards = address, 0
-        self.heard, self.sent, self.misses = -1e9, -1e9, 0
-        self.number, self.told_at = 0, -1e9  # number and time of the newest heartbeat
+        self.address = address
+        self.shards = 0
+        self.heard = -1e9
+        self.sent = -1e9
+        self.misses = 0
+        # number and time of the newest heartbeat
+        self.number = 0
+        self.told_at = -1e9
         self.told = False  # whether the owner knows all shares in its shards
         self.viewed_at = -1e9  # when views were last reported to it
 
@@ -62,7 +67,8 @@
             table = pb.ShardMap.FromString(data)
         except DecodeError:
             return
-        fencing_token, owners = (table.term, table.number), list(table.owners)
+        fencing_token = (table.term, table.number)
+        owners = list(table.owners)
         if fencing_token <= self.fencing_token or len(table.owner_of_shard) != SHARDS:
             return
         self.fencing_token = fencing_token
@@ -77,7 +83,8 @@
             if shards[address] & ~link.shards:
                 link.told = False
             link.shards = shards[address]
-        self.links, self.due = links, now
+        self.links = links
+        self.due = now
 
     def on_heartbeat_reply(self, now: float, link: OwnerLink, heard: pb.ClientHeartbeatReply) -> None:
         """Take an owner's answer to a heartbeat."""
@@ -94,7 +101,8 @@
         self.due = now + CLIENT_HEARTBEAT_S / 2
         known = list(local_quotas)
         live = [p for p in known if p.live(now)]
-        share_owners, out = {p.share_owner for p in live}, []
+        share_owners = {p.share_owner for p in live}
+        out = []
         for link in self.links.values():
             soon = (
                 CLIENT_HEARTBEAT_S
--- a/gateway/quota/quota_client.py
+++ b/gateway/quota/quota_client.py
@@ -37,7 +37,9 @@
 MAX_PENDING_CHARGES = 8192  # charges waiting for a verdict at once
 MAX_REMEMBERED_CHARGES = 32768  # charges in one generation
 REMEMBER_ANSWERED_S = 4.0  # a decided charge is remembered at least this long
-MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.05, 2.0  # bounds of the wait in a refusal
+# bounds of the wait in a refusal
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 2.0
 
 Output = Send | ChargeDecision
 Input = ChargeRequest | Received | Tick | Refund | ShardMap | Allowances | Leave
@@ -53,8 +55,14 @@
     def __init__(
         self, local_quota: LocalQuota, link: OwnerLink | None, now: float, patience: float, precedence: int
     ) -> None:
-        self.local_quota, self.link, self.sent, self.patience = local_quota, link, now, patience
-        self.precedence, self.ask_count, self.tries, self.state = precedence, 1, 1, WAITING
+        self.local_quota = local_quota
+        self.link = link
+        self.sent = now
+        self.patience = patience
+        self.precedence = precedence
+        self.ask_count = 1
+        self.tries = 1
+        self.state = WAITING
 
 
 class QuotaClient:
@@ -65,12 +73,16 @@
     """
 
     def __init__(self, span_s: float, rng: random.Random) -> None:
-        self.span_s, self.rng, self.incarnation = span_s, rng, rng.randrange(1, 1 << 32)
+        self.span_s = span_s
+        self.rng = rng
+        self.incarnation = rng.randrange(1, 1 << 32)
         self.local_quotas: dict[str, LocalQuota] = {}
-        self.links, self.statistics = OwnerLinks(self.incarnation), DecisionStatistics()
+        self.links = OwnerLinks(self.incarnation)
+        self.statistics = DecisionStatistics()
         self.pending: dict[int, PendingCharge] = {}  # waiting or decided lately; next, the generation before
         self.previous_pending: dict[int, PendingCharge] = {}
-        self.rotate_at, self.waiting = 0.0, 0
+        self.rotate_at = 0.0
+        self.waiting = 0
         self.leaving = False  # its shares are returned, and it takes no others
         self.timers: list[tuple[float, int]] = []
 
@@ -203,7 +215,8 @@
         out = self.pending.get(id) or self.previous_pending.get(id)
         if out is None or out.state not in (COUNTED, SHARED):
             return []
-        shared, out.state = out.state == SHARED, REFUSED
+        shared = out.state == SHARED
+        out.state = REFUSED
         self.statistics.back += 1
         if shared:
             out.local_quota.undo_spend()
@@ -225,7 +238,8 @@
         link = self.links.links.get(received.frm)
         kind = received.note.WhichOneof("kind")
         if link is not None:
-            link.heard, link.misses = now, 0
+            link.heard = now
+            link.misses = 0
         if kind == "verdict":
             return self.on_verdict(now, received.frm, link, received.note.verdict)
         if kind == "heard" and link is not None:
@@ -236,7 +250,8 @@
         """Decide the request. If it was decided before, a late admission is corrected: the unit is refunded
         at the owner if the request was refused, and returned to the share if the share admitted it.
         """
-        id, code = verdict.id, verdict.code
+        id = verdict.id
+        code = verdict.code
         out = self.pending.get(id) or self.previous_pending.get(id)
         if out is None:
             return []
@@ -301,7 +316,9 @@
     def rotate(self, now: float) -> None:
         """Start a new generation of charges, which drops those decided long ago."""
         waiting = {id: out for id, out in self.previous_pending.items() if out.state == WAITING}
-        self.previous_pending, self.pending, self.rotate_at = self.pending, waiting, now + REMEMBER_ANSWERED_S
+        self.previous_pending = self.pending
+        self.pending = waiting
+        self.rotate_at = now + REMEMBER_ANSWERED_S
 
     # Configuration
 
@@ -315,6 +332,7 @@
             local_quota = self.local_quotas.get(label)
             if local_quota is None:
                 local_quota = LocalQuota(label, tenant_number(label), window, 1 - self.rng.random())
-            local_quota.window, local_quota.exhausted_until = window, 0.0
+            local_quota.window = window
+            local_quota.exhausted_until = 0.0
             local_quotas[label] = local_quota
         self.local_quotas = local_quotas
--- a/gateway/quota/shard_assigner.py
+++ b/gateway/quota/shard_assigner.py
@@ -49,11 +49,19 @@
     )
 
     def __init__(self, address: Address) -> None:
-        self.incarnation, self.at = 0, -1.0  # of its newest request
-        self.asked, self.asked_since = -10.0, -10.0  # when that came here, and when the first without a gap
+        # of its newest request
+        self.incarnation = 0
+        self.at = -1.0
+        # when that came here, and when the first without a gap
+        self.asked = -10.0
+        self.asked_since = -10.0
         self.confirmed = -10.0  # when a request last showed that it had the newest grant
-        self.possibly_held, self.until = 0, 0.0  # shards that it may still own, and until when
-        self.offer, self.last_grant = 0, (0, 0)  # shards in the newest grant, and that grant's fencing token
+        # shards that it may still own, and until when
+        self.possibly_held = 0
+        self.until = 0.0
+        # shards in the newest grant, and that grant's fencing token
+        self.offer = 0
+        self.last_grant = (0, 0)
         self.ever_offered = 0  # shards in any grant
         self.ranks = [
             blake2b(f"{address} {shard}".encode(), digest_size=8).digest() for shard in range(SHARDS)
@@ -71,18 +79,25 @@
     """
 
     def __init__(self) -> None:
-        self.term, self.has_leader_lease = 0, False
-        self.began, self.settled = 0.0, False
+        self.term = 0
+        self.has_leader_lease = False
+        self.began = 0.0
+        self.settled = False
         self.number = 0  # of the newest grant or shard map, in this term
         self.live: frozenset[Address] = frozenset()
         self.members: frozenset[Address] = frozenset()
         self.candidates: dict[Address, OwnerCandidate] = {}
         self.owner_of_shard: list[Address | None] = [None] * SHARDS
-        self.idle, self.idle_since = 0, 0.0  # shards not owned since then but by an owner that was told so
+        # shards not owned since then but by an owner that was told so
+        self.idle = 0
+        self.idle_since = 0.0
         self.early: dict[
             Address, tuple[float, LeaseRequest]
         ] = {}  # requests of this term from before it had the leader's lease, and when they came
-        self.changed, self.has_unowned, self.published = False, True, 0.0  # has_unowned: in the newest map
+        # has_unowned: in the newest map
+        self.changed = False
+        self.has_unowned = True
+        self.published = 0.0
         self.data = b""
         self.assignments: dict[frozenset[Address], dict[Address, int]] = {}
 
@@ -101,7 +116,8 @@
                 self.begin(now, input.term, input.leaderless_since)
             self.has_leader_lease = input.has_leader_lease
         elif type(input) is LiveControllers:
-            self.live, self.members = frozenset(input.addresses), frozenset(input.members)
+            self.live = frozenset(input.addresses)
+            self.members = frozenset(input.members)
         return []
 
     def table(self) -> bytes:
@@ -114,9 +130,16 @@
 
     def begin(self, now: float, term: int, idle_since: float | None) -> None:
         """Begin to lead, or stop (term 0): what was known of another term is discarded."""
-        self.term, self.began, self.settled, self.number = term, now, False, 0
-        self.candidates, self.early, self.owner_of_shard = {}, {}, [None] * SHARDS
-        self.changed, self.has_unowned, self.data = False, True, b""
+        self.term = term
+        self.began = now
+        self.settled = False
+        self.number = 0
+        self.candidates = {}
+        self.early = {}
+        self.owner_of_shard = [None] * SHARDS
+        self.changed = False
+        self.has_unowned = True
+        self.data = b""
         self.idle, self.idle_since = (0, 0.0) if idle_since is None else (ALL_SHARDS, idle_since)
 
     # Leases
@@ -128,28 +151,28 @@
             if frm not in self.live and frm not in self.members:
                 return []
             candidate = self.candidates[frm] = OwnerCandidate(frm)
-            candidate.possibly_held, candidate.until, candidate.confirmed = (
-                request.shards,
-                now + LEASE_S + MARGIN_S,
-                now,
-            )
+            candidate.possibly_held = request.shards
+            candidate.until = now + LEASE_S + MARGIN_S
+            candidate.confirmed = now
         elif candidate.incarnation != request.incarnation:
-            candidate.possibly_held, candidate.offer, candidate.asked_since, candidate.confirmed = (
-                request.shards,
-                0,
-                now,
-                now,
-            )
+            candidate.possibly_held = request.shards
+            candidate.offer = 0
+            candidate.asked_since = now
+            candidate.confirmed = now
             self.idle &= ~candidate.ever_offered  # its earlier process may have counted them
         elif request.at <= candidate.at:
             return []
         elif (request.term, request.number) == candidate.last_grant:
-            candidate.possibly_held, candidate.confirmed = request.shards, now
+            candidate.possibly_held = request.shards
+            candidate.confirmed = now
         if now > candidate.asked + PRESENT_S:
             candidate.asked_since = now
-        candidate.incarnation, candidate.at, candidate.asked = request.incarnation, request.at, now
+        candidate.incarnation = request.incarnation
+        candidate.at = request.at
+        candidate.asked = now
         self.idle &= ~(request.shards & ~candidate.ever_offered)  # owned, whoever granted them
-        waited, out = not self.settled, list[Output]()
+        waited = not self.settled
+        out = list[Output]()
         self.settle(now)
         out.append(self.grant(now, frm, candidate))
         if waited and self.settled:
@@ -166,7 +189,8 @@
         """Grant a candidate its shards, under a lease that runs from when it sent its request."""
         offer = self.offer(now, frm, candidate)
         self.number += 1
-        candidate.offer, candidate.last_grant = offer, (self.term, self.number)
+        candidate.offer = offer
+        candidate.last_grant = (self.term, self.number)
         candidate.possibly_held |= offer
         if offer:
             candidate.until = now + LEASE_S + MARGIN_S
@@ -175,7 +199,8 @@
             if offer >> shard & 1 and self.owner_of_shard[shard] != frm:
                 if self.owner_of_shard[shard] is not None:
                     self.idle &= ~(1 << shard)
-                self.owner_of_shard[shard], self.changed = frm, True
+                self.owner_of_shard[shard] = frm
+                self.changed = True
         hold = LeaseGrant(
             incarnation=candidate.incarnation,
             at=candidate.at,
@@ -184,14 +209,17 @@
             shards=offer,
         )
         if idle := offer & self.idle:
-            hold.idle, hold.idle_ms = idle, int(1000 * (now - self.idle_since))
+            hold.idle = idle
+            hold.idle_ms = int(1000 * (now - self.idle_since))
         return Send(frm, Message(hold=hold))
 
     def offer(self, now: float, frm: Address, candidate: OwnerCandidate) -> int:
         """The shards that a candidate shall own now: free ones assigned to it, and those that it owns already
         and no stable candidate should get instead.
         """
-        taken, present, stable = 0, [], []
+        taken = 0
+        present = []
+        stable = []
         for address, other in self.candidates.items():
             if address != frm and now < other.until:
                 taken |= other.possibly_held
@@ -262,7 +290,9 @@
             or (now < self.published + PUBLISH_INTERVAL_S and not self.has_unowned)
         ):
             return []
-        self.changed, self.has_unowned, self.published = False, None in self.owner_of_shard, now
+        self.changed = False
+        self.has_unowned = None in self.owner_of_shard
+        self.published = now
         self.number += 1
         owners = sorted({a for a in self.owner_of_shard if a is not None})
         owner_of_shard = bytes(NO_OWNER if a is None else owners.index(a) for a in self.owner_of_shard)
--- a/gateway/quota/shard_owner.py
+++ b/gateway/quota/shard_owner.py
@@ -45,13 +45,18 @@
     """
 
     def __init__(self, span_s: float, rng: random.Random) -> None:
-        self.span_s, self.incarnation = span_s, rng.randrange(1, 1 << 32)
+        self.span_s = span_s
+        self.incarnation = rng.randrange(1, 1 << 32)
         self.leader: Address | None = None
-        self.shards, self.until = 0, 0.0  # owned, and until when
+        # owned, and until when
+        self.shards = 0
+        self.until = 0.0
         self.since = [0.0] * SHARDS  # when each shard's lease began, or since when nobody else counted it
         self.lease_began = [0.0] * SHARDS  # by shard: when its lease began
         self.ever_held = 0  # shards owned at any time
-        self.fencing_token, self.asked_at, self.answered = (0, 0), -LEASE_RENEW_S, True
+        self.fencing_token = (0, 0)
+        self.asked_at = -LEASE_RENEW_S
+        self.answered = True
         self.windows: dict[int, tuple[str, Window]] = {}  # by the tenant's number
         self.counts: dict[int, TenantCounter] = {}
         self.registry = ClientRegistry(self.forget_client)
@@ -75,7 +80,8 @@
         if type(input) is Allowances:
             self.set_allowances(now, input)
         elif type(input) is SetLeader and input.address != self.leader:
-            self.leader, self.asked_at = input.address, now - LEASE_RENEW_S
+            self.leader = input.address
+            self.asked_at = now - LEASE_RENEW_S
             return self.tick(now)
         return []
 
@@ -114,7 +120,8 @@
             and not count.has_reported_shares
             and (count.early_limit(now) - count.admitted < 1)
         ):
-            verdict.code, count = Code.NOT_YET, None
+            verdict.code = Code.NOT_YET
+            count = None
         if client is None:
             verdict.code = Code.NOT_MINE
         elif count is not None:
@@ -144,12 +151,14 @@
         if count.over_demand or count.asked > count.window.allowance:
             verdict.over_demand = True
         if may_lease and count.lease(now, frm, share, charge.share):
-            verdict.share, verdict.part = share.number, share.part
+            verdict.share = share.number
+            verdict.part = share.part
 
     def count(self, now: float, number: int, verdict: Verdict | None) -> TenantCounter | None:
         """A tenant's count, created if its shard is owned; otherwise None, with the reason in the verdict."""
         self.expire_lease(now)
-        part, known = number % SHARDS, self.windows.get(number)
+        part = number % SHARDS
+        known = self.windows.get(number)
         code = Code.NOT_MINE if not self.shards >> part & 1 else Code.UNKNOWN if known is None else 0
         if code or known is None:
             if verdict is not None:
@@ -246,7 +255,8 @@
         self.registry.expire(now)
         if self.leader is None or now < self.asked_at + (LEASE_RENEW_S if self.answered else LEASE_RETRY_S):
             return []
-        self.asked_at, self.answered = now, False
+        self.asked_at = now
+        self.answered = False
         request = LeaseRequest(
             incarnation=self.incarnation,
             at=now,
@@ -273,7 +283,8 @@
         ):
             return []
         self.expire_lease(now)
-        self.fencing_token, self.answered = fencing_token, True
+        self.fencing_token = fencing_token
+        self.answered = True
         self.until = max(self.until, hold.at + LEASE_S)
         self.hold(now, hold.shards, hold.idle, hold.idle_ms / 1000)
         return []
@@ -283,7 +294,8 @@
 
         The shards `idle` have, by the leader's knowledge, been counted by nobody but this owner for `idle_s`.
         """
-        lost, new = self.shards & ~shards, shards & ~self.shards
+        lost = self.shards & ~shards
+        new = shards & ~self.shards
         self.shards = shards
         if not lost and not new:
             return
--- a/gateway/quota/tenant_counter.py
+++ b/gateway/quota/tenant_counter.py
@@ -32,11 +32,15 @@
     __slots__ = ("asked", "before", "accrues_from", "number", "part", "raised", "spent", "until", "usage")
 
     def __init__(self, spent: int) -> None:
-        self.part = self.before = 0  # leased now, and the largest share it may still use instead
+        # leased now, and the largest share it may still use instead
+        self.part = 0
+        self.before = 0
         self.number = 0
         self.until = 0.0  # expiry of the lease, with a margin
         self.spent = spent  # units reported as admitted by share
-        self.asked, self.usage = 0, 0.0  # requests in this window, and their moving average a window
+        # requests in this window, and their moving average a window
+        self.asked = 0
+        self.usage = 0.0
         self.accrues_from = NEVER  # from when its units accrue in the pool
         self.raised = False  # whether this count has raised it
 
@@ -86,10 +90,15 @@
     def __init__(
         self, now: float, window: Window, begun: float, number: int, lease_began: float = 0.0
     ) -> None:
-        self.window, self.opens, self.late = window, begun + window.length_s, lease_began + window.length_s
+        self.window = window
+        self.opens = begun + window.length_s
+        self.late = lease_began + window.length_s
         self.begins = self.ends = begun
-        self.admitted, self.asked, self.over_demand = 0, 0, False
-        self.levels, self.typical_demand = [0] * PRECEDENCE_LEVELS, [0.0] * PRECEDENCE_LEVELS
+        self.admitted = 0
+        self.asked = 0
+        self.over_demand = False
+        self.levels = [0] * PRECEDENCE_LEVELS
+        self.typical_demand = [0.0] * PRECEDENCE_LEVELS
         self.ids: dict[int, float] = {}  # admitted ids: start of their window; -1 once refunded
         self.previous_ids: dict[int, float] = {}
         self.rotate_at = now
@@ -103,7 +112,9 @@
             Address, int
         ] = {}  # an earlier owner's shares, as each client first reported its own
         self.claimed = 0  # their sum: the shares of other clients are within the rest
-        self.reserved, self.epoch = 0.0, -1  # units kept back, and the registry's epoch they are valid for
+        # units kept back, and the registry's epoch they are valid for
+        self.reserved = 0.0
+        self.epoch = -1
         self.next_number = number % SHARE_NUMBERS
         self.begin_window(now)
 
@@ -114,18 +125,21 @@
         self.begins += ((now - self.begins) // length) * length
         self.ends = self.begins + length
         if now >= self.ends:  # by rounding
-            self.begins, self.ends = self.ends, self.ends + length
+            self.begins = self.ends
+            self.ends = self.ends + length
         self.over_demand = not skipped and self.asked > self.window.allowance
         self.typical_demand = [
             u + SMOOTHING * ((0 if skipped else n) - u)
             for u, n in zip(self.typical_demand, self.levels, strict=True)
         ]
         self.levels = [0] * PRECEDENCE_LEVELS
-        self.admitted = self.asked = 0
+        self.admitted = 0
+        self.asked = 0
         self.epoch = -1
         if now >= self.rotate_at:
             self.previous_ids = self.ids if now < self.rotate_at + self.remember() else {}
-            self.ids, self.rotate_at = {}, now + self.remember()
+            self.ids = {}
+            self.rotate_at = now + self.remember()
         self.target(now)
 
     def remember(self) -> float:
@@ -135,8 +149,10 @@
     def resize(self, now: float, window: Window) -> None:
         """Change the allowance; a window of another length begins now, and keeps what is counted."""
         if window.length_s != self.window.length_s:
-            self.begins, self.ends = now, now + window.length_s
-        self.window, self.epoch = window, -1
+            self.begins = now
+            self.ends = now + window.length_s
+        self.window = window
+        self.epoch = -1
 
     def charge(
         self, now: float, share: ClientShare, id: int, precedence: int, refused_locally: int, late: int = 0
@@ -232,11 +248,13 @@
             self.claimed += part
         if share.number == 0:
             self.note_earlier_share()
-            share.part, share.number = part, self.number()
+            share.part = part
+            share.number = self.number()
             # Until more is seen of its usage:
             share.usage = max(share.usage, part / FULL_SHARE * self.window.allowance)
             if now < self.opens:
-                share.accrues_from, self.has_reported_shares = accrues_from, True
+                share.accrues_from = accrues_from
+                self.has_reported_shares = True
         share.before = max(share.before, part)
         share.until = max(share.until, now + left_s + MARGIN_S)
         self.outstanding += share.outstanding - previous
@@ -275,7 +293,8 @@
         if target == share.part:
             return
         share.before = max(share.before, share.part)
-        share.part, share.number = target, self.number()
+        share.part = target
+        share.number = self.number()
         self.outstanding += share.outstanding - previous
 
     def number(self) -> int:
@@ -291,7 +310,9 @@
             share.asked = 0
             if now >= share.until and share.outstanding:
                 self.outstanding -= share.outstanding
-                share.part = share.before = share.number = 0
+                share.part = 0
+                share.before = 0
+                share.number = 0
             if not share.outstanding and share.usage < MIN_USAGE:
                 del self.shares[frm]
             total += share.usage
@@ -311,13 +332,19 @@
             self.report(share, max(spent, share.spent))
             spent = share.spent
             self.forget(frm)
-            share.spent, share.asked, share.usage = spent, 0, 0.0
+            share.spent = spent
+            share.asked = 0
+            share.usage = 0.0
 
     def forget(self, frm: Address) -> None:
         """A quota client's process has ended: it has no share any more."""
         share = self.shares.get(frm)
         if share is not None:
             self.outstanding -= share.outstanding
-            share.part = share.before = share.number = share.spent = 0
-            share.until, share.accrues_from = 0.0, NEVER
+            share.part = 0
+            share.before = 0
+            share.number = 0
+            share.spent = 0
+            share.until = 0.0
+            share.accrues_from = NEVER
             self.epoch = -1
--- a/gateway/quota/view_audit.py
+++ b/gateway/quota/view_audit.py
@@ -58,7 +58,10 @@
     def __init__(self) -> None:
         self.replied_range: dict[int, deque[list[float]]] = {}  # by tenant: slots of start, least, greatest
         self.known: dict[int, dict[Address, RecordedView]] = {}
-        self.gained = self.lost = self.back = 0  # shards; units refunded; these only grow
+        # shards; units refunded; these only grow
+        self.gained = 0
+        self.lost = 0
+        self.back = 0
 
     def record_reply(self, now: float, tenant: int, remaining: int) -> None:
         """Record the remaining units in a verdict that is sent."""
@@ -91,7 +94,8 @@
 
     def moved(self, lost: int, new: int) -> None:
         """Shards were lost or gained: what is known of their tenants is of another count, and dropped."""
-        self.lost, self.gained = self.lost + lost.bit_count(), self.gained + new.bit_count()
+        self.lost = self.lost + lost.bit_count()
+        self.gained = self.gained + new.bit_count()
         for tenants in (self.replied_range, self.known):
             for tenant in [t for t in tenants if (lost | new) >> (t % SHARDS) & 1]:
                 del tenants[tenant]
--- a/gateway/runtime/disk_thread.py
+++ b/gateway/runtime/disk_thread.py
@@ -33,12 +33,17 @@
         failed: Callable[[int, str], None],
         clock: Callable[[], float] = steady,
     ) -> None:
-        self.loop, self.save, self.done, self.failed, self.clock = loop, save, done, failed, clock
+        self.loop = loop
+        self.save = save
+        self.done = done
+        self.failed = failed
+        self.clock = clock
         self.changed = threading.Condition()
         self.waiting: deque[int] = deque(maxlen=MAX_TOKENS)  # tokens that the next save will complete
         self.record: Any = None
         self.began: float | None = None  # start of the running save, None if none runs
-        self.stopped = self.stalled = False
+        self.stopped = False
+        self.stalled = False
         self.thread: threading.Thread | None = None
 
     def write(self, token: int, record: Any) -> None:
@@ -82,7 +87,8 @@
                     if self.stopped:
                         return
                     self.changed.wait()
-                tokens, record = list(self.waiting), self.record
+                tokens = list(self.waiting)
+                record = self.record
                 self.waiting.clear()
                 self.record = None
                 self.began = self.clock()
--- a/gateway/runtime/http_listener.py
+++ b/gateway/runtime/http_listener.py
@@ -97,7 +97,8 @@
     draining = False
 
     def __init__(self, loop: asyncio.AbstractEventLoop, answer: Callable[[HttpCall, Reply], None]) -> None:
-        self.loop, self.calls = loop, HttpCallHandler(loop, answer)
+        self.loop = loop
+        self.calls = HttpCallHandler(loop, answer)
         self.connections: set[ClientConnection] = set()
         self.order: Iterator[int] = itertools.count()
         self.bodies = 0
--- a/gateway/runtime/log_ring.py
+++ b/gateway/runtime/log_ring.py
@@ -44,14 +44,19 @@
         self.out = write or _to_stderr
         self.dump_pending = False
         self.next_dump = float("-inf")
-        self.second, self.lines = float("-inf"), 0
-        self.dropped, self.immediate_logger = 0, immediate_logger
+        self.second = float("-inf")
+        self.lines = 0
+        self.dropped = 0
+        self.immediate_logger = immediate_logger
 
     @classmethod
     def install(cls, size: int = MAX_RECORDS, immediate_logger: str = "") -> LogRing:
         """Make a ring the only handler of the root logger, for all records from level INFO on."""
-        ring, root = cls(size, immediate_logger=immediate_logger), logging.getLogger()
-        logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
+        ring = cls(size, immediate_logger=immediate_logger)
+        root = logging.getLogger()
+        logging.logThreads = False
+        logging.logProcesses = False
+        logging.logMultiprocessing = False
         logging._srcfile = None  # skips the inspection of the caller's frame, the costliest part
         root.handlers[:] = [ring]
         root.setLevel(logging.INFO)
@@ -79,7 +84,8 @@
         """Write a pending dump if it is due. To be called regularly."""
         now = self.clock()
         if self.dump_pending and now >= self.next_dump:
-            self.next_dump, self.dump_pending = now + DUMP_INTERVAL_S, False
+            self.next_dump = now + DUMP_INTERVAL_S
+            self.dump_pending = False
             records = list(self.records)
             self.records.clear()
             self._write(records)
@@ -92,7 +98,8 @@
     def _line_allowed(self) -> bool:
         now = self.clock()
         if now >= self.second + 1:
-            self.second, self.lines = now, 0
+            self.second = now
+            self.lines = 0
         self.lines += 1
         return self.lines <= MAX_LINES_PER_SECOND
 
--- a/gateway/runtime/peer_transport.py
+++ b/gateway/runtime/peer_transport.py
@@ -58,7 +58,10 @@
     __slots__ = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
     def __init__(self) -> None:
-        self.messages_in = self.bytes_in = self.messages_out = self.bytes_out = 0
+        self.messages_in = 0
+        self.bytes_in = 0
+        self.messages_out = 0
+        self.bytes_out = 0
 
 
 class PeerTransport:
@@ -70,7 +73,9 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, address: Address, handlers: Mapping[int, Plane]
     ) -> None:
-        self.loop, self.address, self.handlers = loop, address, dict(handlers)
+        self.loop = loop
+        self.address = address
+        self.handlers = dict(handlers)
         self.counts = {number: PlaneCounters() for number in self.handlers}
         self.bad: dict[str, int] = {}
         self.links = TcpLinks(loop, address, self._lost)
--- a/gateway/runtime/settings.py
+++ b/gateway/runtime/settings.py
@@ -255,7 +255,8 @@
 
     def changed(self) -> bool:
         """Whether the file was replaced or modified since the last check."""
-        before, self.seen = self.seen, self._look()
+        before = self.seen
+        self.seen = self._look()
         return self.seen is not None and self.seen != before
 
     def read(self) -> Found:
--- a/gateway/runtime/settings_schema.py
+++ b/gateway/runtime/settings_schema.py
@@ -103,7 +103,8 @@
 
     An empty string counts as missing.
     """
-    values, faults = {}, []
+    values = {}
+    faults = []
     for field in fields:
         try:
             values[field.name] = _value(document, field)
--- a/gateway/runtime/tcp_links.py
+++ b/gateway/runtime/tcp_links.py
@@ -40,7 +40,8 @@
     """A link to another process. Messages are queued until it is connected and while its buffer is full."""
 
     def __init__(self, links: TcpLinks, to: Address) -> None:
-        self.links, self.to = links, to
+        self.links = links
+        self.to = to
         self.waiting: deque[tuple[Hashable, bytes]] = deque()
         self.bytes = 0
         self.transport: asyncio.Transport | None = None
@@ -106,7 +107,9 @@
     def __init__(
         self, links: TcpLinks, take: Callable[[Address, bytes], None], lost: Callable[[str], None]
     ) -> None:
-        self.links, self.take, self.lost = links, take, lost
+        self.links = links
+        self.take = take
+        self.lost = lost
         self.sender: Address | None = None
         self.buffer = bytearray()
         self.transport: asyncio.Transport | None = None
@@ -124,7 +127,8 @@
         """Split what was received into frames and pass them on."""
         self.used = self.links.loop.time()
         self.buffer += data
-        start, have = 0, len(self.buffer)
+        start = 0
+        have = len(self.buffer)
         while self.transport is not None and have - start >= 4:
             length = int.from_bytes(self.buffer[start : start + 4], "big")
             if length > (MAX_QUEUED_BYTES if self.sender is not None else MAX_ADDRESS_BYTES):
@@ -169,7 +173,9 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, address: Address, lost: Callable[[str], None]
     ) -> None:
-        self.loop, self.address, self.lost = loop, address, lost
+        self.loop = loop
+        self.address = address
+        self.lost = lost
         self.outbound: dict[Address, OutboundLink] = {}
         self.inbound: set[InboundLink] = set()
         self.opening: set[asyncio.Task[None]] = set()
--- a/gateway/runtime/ticker.py
+++ b/gateway/runtime/ticker.py
@@ -27,7 +27,9 @@
         call: Callable[[float], object],
         first: float | None = None,
     ) -> None:
-        self.loop, self.period, self.call = loop, period, call
+        self.loop = loop
+        self.period = period
+        self.call = call
         self.due = loop.time() + (period if first is None else first)
         self.handle: asyncio.TimerHandle | None = loop.call_at(self.due, self._tick)
 
--- a/ingress/__main__.py
+++ b/ingress/__main__.py
@@ -104,7 +104,8 @@
 
     try:
         settings, fields = read_settings(list(flatten(data["settings"], "")))
-        listen, discovery = address("listen"), address("discovery")
+        listen = address("listen")
+        discovery = address("discovery")
         if listen is None or discovery is None:
             raise ValueError("listen and discovery are needed")
         return Config(
--- a/ingress/calling.py
+++ b/ingress/calling.py
@@ -6,12 +6,18 @@
 
 from ingress import interface as io
 
-ASK_SHARE, ASK_OVER = 0.8, 0.01  # calls per request beyond which sure refusals make none; weight of a request
+# calls per request beyond which sure refusals make none; weight of a request
+ASK_SHARE = 0.8
+ASK_OVER = 0.01
 WAIT = 0.3  # target of the mean wait for the counter, in timeouts, by which the call share is adapted
 STEP = 0.1  # how fast the call share moves
 ASK_NEED = 4.0  # factor on the call share for requests that would be refused without a call
-ASK_LEAST, ASK_DOWN = 0.05, 0.2  # least call share; the same while the counter is down, and least in `part`
-ASK_BACK, ASK_CUT = 0.5, 0.6  # call share when the counter is back; factor on it after a miss
+# least call share; the same while the counter is down, and least in `part`
+ASK_LEAST = 0.05
+ASK_DOWN = 0.2
+# call share when the counter is back; factor on it after a miss
+ASK_BACK = 0.5
+ASK_CUT = 0.6
 ASK_ALL = 8.0  # ingresses that may all call for each request, as assumed by one that has just started
 OUTAGE_MISSES = 8  # misses in a row after which the counter counts as down, not just overloaded
 
@@ -20,9 +26,13 @@
     """The call share (the fraction of requests that call the counter), and whether the counter is down."""
 
     def __init__(self, settings: io.Settings, rng: random.Random) -> None:
-        self.timeout, self.rng = settings.counter_timeout, rng
+        self.timeout = settings.counter_timeout
+        self.rng = rng
         self.begin_ask = min(1.0, ASK_ALL / settings.instances)
-        self.ask, self.misses, self.asked = self.begin_ask, 0, 1.0  # call share, misses in a row, mean calls
+        # call share, misses in a row, mean calls
+        self.ask = self.begin_ask
+        self.misses = 0
+        self.asked = 1.0
 
     def counter_down(self) -> bool:
         """Whether the counter is taken to be down."""
@@ -58,7 +68,8 @@
         """Adapt the call share to a reply; returns whether the counter has added the amount."""
         if e.outcome not in (io.Outcome.OK, io.Outcome.ERROR):
             least = ASK_LEAST if self.misses < OUTAGE_MISSES else ASK_DOWN
-            self.ask, self.misses = max(least, self.ask * ASK_CUT), self.misses + 1
+            self.ask = max(least, self.ask * ASK_CUT)
+            self.misses = self.misses + 1
             if self.misses == OUTAGE_MISSES:
                 acts.append(io.Log("counter gives no answer: admitting by local shares"))
             return False
--- a/ingress/concurrency_limit.py
+++ b/ingress/concurrency_limit.py
@@ -17,9 +17,13 @@
     """
 
     def __init__(self, now: float) -> None:
-        self.in_flight, self.slots = 0, 0.0  # own attempts in flight, and how many may be
+        # own attempts in flight, and how many may be
+        self.in_flight = 0
+        self.slots = 0.0
         self.floor = MIN_SLOTS
-        self.latency_ratio, self.observed_at = 1.0, now  # latency over the unloaded one, and as of when
+        # latency over the unloaded one, and as of when
+        self.latency_ratio = 1.0
+        self.observed_at = now
         self.paused_until = 0.0  # end of a pause where there is less than one slot
 
     @property
--- a/ingress/control.py
+++ b/ingress/control.py
@@ -23,7 +23,9 @@
 from ingress.routing import SWEEP_INTERVAL_S, Routing
 
 VERDICT = 0.3  # weight of a new verdict in a customer's admission probability (a fifth of it in its plan's)
-SWEEP_TIMER, GOSSIP_TIMER = 0, 1  # tokens of timers
+# tokens of timers
+SWEEP_TIMER = 0
+GOSSIP_TIMER = 1
 
 
 class Gateway(Routing):
@@ -33,7 +35,8 @@
         plans = [p.name for p in settings.plans]
         super().__init__(settings, settings.classes, plans, random.Random(seed), now)
         self.plans = {p.name: p for p in settings.plans}
-        self.customers, self.call_policy = Customers(settings), CounterCallPolicy(settings, self.rng)
+        self.customers = Customers(settings)
+        self.call_policy = CounterCallPolicy(settings, self.rng)
         self.gossip = Gossip(settings, self.customers, self.call_policy, now)
         self.calls: dict[int, deque[tuple[Customer, int, float, ActiveRequest | None]]] = {}
         self.cap = ConcurrencyCap(self, self.call_policy)
@@ -79,9 +82,11 @@
 
     def request(self, now: float, r: io.Request) -> None:
         """Charge a request's units to the customer's count; sure refusals may need no call."""
-        cls, plan = self.classes[r.class_name], self.plans[r.plan]
+        cls = self.classes[r.class_name]
+        plan = self.plans[r.plan]
         c = self.customers.get_or_create(now, r.customer, plan)
-        c.width, c.first = max(1, r.width), r.first
+        c.width = max(1, r.width)
+        c.first = r.first
         c.expire_excess(now, self.gossip.total_is_covered)
         f = self.active_requests[r.id] = ActiveRequest(r, cls, c, now)
         if plan.rate <= 0:
@@ -176,12 +181,14 @@
 
     def admit_probability(self, now: float, f: ActiveRequest) -> float:
         """The probability that a total would admit: the customer's recent one, decaying into its plan's."""
-        c, common = f.customer, self.chance[f.req.plan, f.req.is_repeat]
+        c = f.customer
+        common = self.chance[f.req.plan, f.req.is_repeat]
         return common + (c.chance - common) * math.exp((c.at - now) / (7 * c.length))
 
     def admit_locally(self, now: float, f: ActiveRequest) -> None:
         """Admit by this ingress's share of the bucket; the usage is reported with the next call."""
-        c, units = f.customer, f.req.units
+        c = f.customer
+        units = f.req.units
         if self.gossip.all_peers_reachable(now, c):
             if c.available_units(now) - c.units_in_flight < units:
                 return self.refuse(now, f, (units - c.available_units(now)) / c.plan.rate)
@@ -212,7 +219,8 @@
         unused = now - c.at - (c.plan.burst - c.level) / c.plan.rate
         if unused > 0:  # refilled since the bucket was full: no wave of refusals when an outage ends
             c.pending -= min(share * c.plan.rate * unused, max(0.0, c.pending))
-            c.level, c.at = c.plan.burst, now
+            c.level = c.plan.burst
+            c.at = now
         own = max(0.0, c.pending)
         return (
             own + c.units_in_flight + f.req.units <= min(c.plan.burst, c.available_units(now) + own) * share
--- a/ingress/customer.py
+++ b/ingress/customer.py
@@ -66,33 +66,52 @@
     )
 
     def __init__(self, key: int, plan: io.PlanSettings, now: float) -> None:
-        self.key, self.plan, self.width = key, plan, 1
+        self.key = key
+        self.plan = plan
+        self.width = 1
         self.length = plan.burst / plan.rate if plan.rate > 0 else 1.0
         self.phase = mix(key, 0) / (1 << 63) * self.length  # customers' windows begin at different times
-        self.window, self.total = -1, 0.0
+        self.window = -1
+        self.total = 0.0
         self.told = 0.0  # own units in the total
-        self.heard, self.heard_in = 0.0, -1  # units reported by peers, and in which window
-        self.excess, self.excess_at = 0.0, 0.0  # of the total over both, taken off the level; since when
-        self.mine, self.own_total_sent = 0, 0  # quarter units admitted here, and as last sent to peers
+        # units reported by peers, and in which window
+        self.heard = 0.0
+        self.heard_in = -1
+        # of the total over both, taken off the level; since when
+        self.excess = 0.0
+        self.excess_at = 0.0
+        # quarter units admitted here, and as last sent to peers
+        self.mine = 0
+        self.own_total_sent = 0
         self.peer_totals: dict[int, int] = {}  # the same of each peer
         # Without history the bucket counts as full; under a ceiling it holds what a full quota cannot have
         # spent, so that a restart in a counter outage does not grant the ceiling twice.
         spent = plan.rate / plan.ceiling_rate if plan.ceiling_rate > 0 else 0.0
-        self.level, self.at = plan.burst * max(0.0, 1 - spent), now
-        self.first, self.born, self.seen = 0, now, now
+        self.level = plan.burst * max(0.0, 1 - spent)
+        self.at = now
+        self.first = 0
+        self.born = now
+        self.seen = now
         self.level_from_peer = False  # a peer has sent the level, as this ingress had just started
-        self.pending, self.units_in_flight = (
-            0.0,
-            0.0,
-        )  # own usage not yet counted, and charges without a verdict
+        # own usage not yet counted, and charges without a verdict
+        self.pending = 0.0
+        self.units_in_flight = 0.0
         self.part = 0.0  # fraction of the customer's recent usage that came through here
-        self.known, self.chance = True, 1.0  # level carried over between windows; recent admission rate
+        # level carried over between windows; recent admission rate
+        self.known = True
+        self.chance = 1.0
         self.out = 0  # requests open here or about to be; next, how many of them are counted, in which window
-        self.counted, self.counted_in = 0, -1
+        self.counted = 0
+        self.counted_in = -1
         self.pressed = -math.inf  # when a total last showed the cap to be full
-        self.came, self.came_at = 0.0, now  # decaying count of recent requests, as of then
+        # decaying count of recent requests, as of then
+        self.came = 0.0
+        self.came_at = now
         self.unreported_arrivals = 0  # of them, not yet added to the count
-        self.rate, self.rate_part, self.rate_at = 0.0, 0.0, now  # a second at all ingresses, by a total
+        # a second at all ingresses, by a total
+        self.rate = 0.0
+        self.rate_part = 0.0
+        self.rate_at = now
 
     def window_number(self, now: float) -> int:
         """The number of the window at a time."""
@@ -115,7 +134,8 @@
     def use(self, now: float, units: float) -> None:
         """Take admitted units off the level."""
         if self.known:
-            self.level, self.at = self.available_units(now) - units, now
+            self.level = self.available_units(now) - units
+            self.at = now
         else:
             self.level -= units
 
@@ -123,14 +143,17 @@
         """Take units admitted at a peer off the level, as far as no total has contained them already."""
         covered = min(max(0.0, self.excess), max(0.0, units))
         window = self.window_number(now)
-        self.heard, self.heard_in = units + (self.heard if self.heard_in == window else 0.0), window
+        self.heard = units + (self.heard if self.heard_in == window else 0.0)
+        self.heard_in = window
         self.excess -= covered
         self.use(now, units - covered)
 
     def expire_excess(self, now: float, total_is_covered: Callable[[float, Customer], bool]) -> None:
         """Restore the excess of a total that no peer has reported: it was a charge that was added back."""
         if self.excess > 0 and now - self.excess_at > EXCESS_S and total_is_covered(now, self):
-            self.level, self.at, self.excess = self.available_units(now) + self.excess, now, 0.0
+            self.level = self.available_units(now) + self.excess
+            self.at = now
+            self.excess = 0.0
 
     def apply_total(
         self,
@@ -149,23 +172,33 @@
             self.window < window - 1 or (self.window == window and not self.known)
         ):
             # Most ingresses have no history: each would assume a nearly full bucket in every window.
-            self.known, self.window, self.total = False, window, total
-            self.level, self.at = self.plan.burst - total + charge, now
+            self.known = False
+            self.window = window
+            self.total = total
+            self.level = self.plan.burst - total + charge
+            self.at = now
             return
         self.known = True
         if self.window != window:
             if self.window < window - 1 and not total_is_covered(now, self):
                 # No history here: a fraction of the burst is taken as carried over.
                 since = now + self.phase - window * self.length
-                self.level, self.at = UNKNOWN * self.plan.burst + self.plan.rate * since, now
+                self.level = UNKNOWN * self.plan.burst + self.plan.rate * since
+                self.at = now
             elif self.excess > 0 and total_is_covered(now, self):
-                self.level, self.at = self.available_units(now) + self.excess, now
-            self.window, self.told, self.excess = window, 0.0, 0.0
-        self.told, self.total = self.told + units, total
+                self.level = self.available_units(now) + self.excess
+                self.at = now
+            self.window = window
+            self.told = 0.0
+            self.excess = 0.0
+        self.told = self.told + units
+        self.total = total
         self.part += PART * (min(1.0, max(0.0, self.told) / max(total, 1e-9)) - self.part)
         excess = max(0.0, total - self.told - (self.heard if self.heard_in == window else 0.0))
-        self.level, self.at = self.available_units(now) - (excess - self.excess), now
-        self.excess, self.excess_at = excess, now
+        self.level = self.available_units(now) - (excess - self.excess)
+        self.at = now
+        self.excess = excess
+        self.excess_at = now
 
 
 class Customers:
--- a/ingress/fleet.py
+++ b/ingress/fleet.py
@@ -15,13 +15,19 @@
     """A backend, with what the ingress has learnt from its own traffic."""
 
     def __init__(self, entry: io.BackendEntry, now: float, phase: float) -> None:
-        self.entry, self.usable = entry, False
+        self.entry = entry
+        self.usable = False
         self.start = entry.born  # of its slow start
         self.out: dict[str, tuple[float, str, str]] = {}  # own attempts in flight: send time, class, plan
         self.answered = now
-        self.ratio, self.errors, self.resting, self.trial = 1.0, 0.0, 0.0, False
+        self.ratio = 1.0
+        self.errors = 0.0
+        self.resting = 0.0
+        self.trial = False
         self.known = False  # it has answered here
-        self.tokens, self.tokens_at = phase, now  # a random start: small gains might never reach a token
+        # a random start: small gains might never reach a token
+        self.tokens = phase
+        self.tokens_at = now
         self.rejection_share: dict[
             str, tuple[float, float]
         ] = {}  # by class and plan: rejected (1) or served (0), and when
@@ -42,7 +48,8 @@
     """All backends of one ingress."""
 
     def __init__(self, settings: io.Settings, rng: random.Random) -> None:
-        self.s, self.rng = settings, rng
+        self.s = settings
+        self.rng = rng
         self.backends: dict[str, Backend] = {}
         self.usable = 0
         self.cordon_entries: dict[
@@ -64,7 +71,8 @@
         resting = sum(1 for x in self.backends.values() if x.usable and now < x.resting)
         if now < b.resting or resting + 1 > (1 - KEEP_SHARE) * self.usable:
             return []
-        b.resting, b.trial = now + EJECT_S, True
+        b.resting = now + EJECT_S
+        b.trial = True
         return [io.Log(f"ejected {b.entry.backend}: {why}")]
 
     def listed(self, now: float, e: io.ListUpdate) -> None:
@@ -86,7 +94,8 @@
 
     def anew(self, now: float, entry: io.BackendEntry) -> Backend:
         """A backend about which nothing is known except the attempts in flight."""
-        known, b = self.backends.get(entry.backend), Backend(entry, now, self.rng.random())
+        known = self.backends.get(entry.backend)
+        b = Backend(entry, now, self.rng.random())
         b.out = known.out if known else {}
         return b
 
@@ -104,7 +113,8 @@
 
     def cordon(self, now: float, e: io.Cordon) -> list[io.Action]:
         """Cordon a backend, or uncordon it; a repeated command changes nothing."""
-        cordon_entry, known = self.cordon_entries.get(e.backend), self.backends.get(e.backend)
+        cordon_entry = self.cordon_entries.get(e.backend)
+        known = self.backends.get(e.backend)
         if cordon_entry is None and (known is None or known.entry.phase is io.Phase.DELETED):
             return [io.UnknownBackend(e.backend)]
         out = cordon_entry is not None and cordon_entry.back == 0
--- a/ingress/flight.py
+++ b/ingress/flight.py
@@ -10,9 +10,13 @@
     """A request that is owed one final answer."""
 
     def __init__(self, req: io.Request, cls: io.ClassSettings, customer: Customer, now: float) -> None:
-        self.req, self.cls, self.customer = req, cls, customer
+        self.req = req
+        self.cls = cls
+        self.customer = customer
         self.aim = now + min(cls.objective, req.expires_in)  # answer due; later its client is gone
-        self.attempts, self.sent, self.charge = 0, 0.0, req.units
+        self.attempts = 0
+        self.sent = 0.0
+        self.charge = req.units
         self.share_below_one = (
             req.units * customer.width > customer.plan.burst
         )  # an even share is below one request
@@ -21,4 +25,6 @@
         self.charged_units = 0.0  # units taken off the bucket
         self.attempt_out = False  # an attempt is in flight
         self.pace = 0.0  # estimate of the requests that its customer keeps open
-        self.bad, self.value = set[str](), cls.worth * customer.plan.price  # to avoid; worth per unit of work
+        # to avoid; worth per unit of work
+        self.bad = set[str]()
+        self.value = cls.worth * customer.plan.price
--- a/ingress/gossip.py
+++ b/ingress/gossip.py
@@ -10,10 +10,9 @@
 from ingress.calling import CounterCallPolicy
 from ingress.customer import Customer, Customers
 
-GOSSIP_INTERVAL_S, GOSSIP_INTERVAL_MAX_S = (
-    0.1,
-    0.25,
-)  # between usage reports to peers, and at most
+# between usage reports to peers, and at most
+GOSSIP_INTERVAL_S = 0.1
+GOSSIP_INTERVAL_MAX_S = 0.25
 GOSSIP_MESSAGE_SHARE = 0.75  # fraction of the messages an ingress accepts that usage reports may make up
 PEER_SILENT_S = 1.0  # without a message, after which a peer is unreachable while the counter is down;
 PEER_GONE_S = 60.0  # otherwise, as totals contain its usage and it is probably restarting
@@ -29,7 +28,10 @@
     def __init__(
         self, settings: io.Settings, customers: Customers, call_policy: CounterCallPolicy, now: float
     ) -> None:
-        self.s, self.customers, self.call_policy, self.began = settings, customers, call_policy, now
+        self.s = settings
+        self.customers = customers
+        self.call_policy = call_policy
+        self.began = now
         self.plans = settings.plans
         taken_in = GOSSIP_MESSAGE_SHARE * settings.peer_in_per_s
         self.every = max(GOSSIP_INTERVAL_S, (settings.instances - 1) / max(1e-9, taken_in))  # seconds
--- a/ingress/net/client.py
+++ b/ingress/net/client.py
@@ -40,7 +40,8 @@
         self.upload_call: ClientRequest | None = None  # the one whose body is being streamed in
         self.reserved = 0  # bytes of the shared buffer for the body that is being received
         self.held_since = 0.0  # when reading of its body was suspended; 0: it is being read
-        self.paused = self.crowded = False
+        self.paused = False
+        self.crowded = False
         self.heard = next(server.order)
         self.used = False  # a request has been received
         self.due = 0.0  # loop time by which more of the present request has to arrive
@@ -52,7 +53,9 @@
         self.url = b""
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = bytearray()
-        self.size, self.in_head, self.fresh = 0, True, True
+        self.size = 0
+        self.in_head = True
+        self.fresh = True
         self.length: int | None = None  # of the body, by Content-Length
         self.got = 0  # bytes of it received
 
@@ -96,9 +99,13 @@
 
     def fault(self, status: int, why: str) -> None:
         """Answer a request that can't be read further with an error, after those before it, and close."""
-        self.discarding_input, self.size, self.body = True, 0, bytearray()
-        self.server.bodies, self.reserved = self.server.bodies - self.reserved, 0
-        call, self.upload_call = self.upload_call, None
+        self.discarding_input = True
+        self.size = 0
+        self.body = bytearray()
+        self.server.bodies = self.server.bodies - self.reserved
+        self.reserved = 0
+        call = self.upload_call
+        self.upload_call = None
         if call is None:
             self.server.request_handler.statistics.counts[f"turned away {status}"] += 1
             self.enqueue(ImmediateResponse(status, why, bodiless=self.is_head()), keep=False)
@@ -165,7 +172,8 @@
         item = self.read()
         if isinstance(item, ImmediateResponse):
             raise BadRequest(item.status, item.why)
-        item.upload, item.body = Upload(self.length, self.hold), b""
+        item.upload = Upload(self.length, self.hold)
+        item.body = b""
         self.release(item)
         self.upload_call = item
         self.enqueue(item, self.parser.should_keep_alive())
@@ -200,8 +208,11 @@
 
     def on_message_complete(self) -> None:
         """The request has been received completely: queue it to be handled."""
-        self.began, self.in_head, self.used = 0.0, True, True
-        call, self.upload_call = self.upload_call, None
+        self.began = 0.0
+        self.in_head = True
+        self.used = True
+        call = self.upload_call
+        self.upload_call = None
         if call is not None and call.upload is not None:
             self.hold(False)
             self.server.request_handler.whole(call)
@@ -273,7 +284,10 @@
     def close(self) -> None:
         """Close, unless the rest of a body has to be read first so that the client reads its response."""
         if any(item is self.upload_call for item, _ in self.waiting):  # it is after the last response
-            self.upload_call, self.held_since, self.discarding_input, self.size = None, 0.0, True, 0
+            self.upload_call = None
+            self.held_since = 0.0
+            self.discarding_input = True
+            self.size = 0
             self.regulate()
         if self.upload_call is None:
             super().close()
--- a/ingress/net/client_connection_base.py
+++ b/ingress/net/client_connection_base.py
@@ -28,7 +28,9 @@
         self.transport: asyncio.Transport | None = None
         self.keep = True  # whether the connection stays open after the present response
         self.owed = 0  # requests that were read before a drain began and wait behind the present one
-        self.closing = self.discarding_input = False  # the latter: bytes received are thrown away
+        # the latter: bytes received are thrown away
+        self.closing = False
+        self.discarding_input = False
         self.since = self.loop.time()  # when it became idle
         self.full_since = 0.0  # since when the client hasn't read; 0 if it does
         self.full_size = 0  # unread bytes when last checked
@@ -76,7 +78,8 @@
             self.transport.write_eof()
         else:
             self.transport.close()
-        self.full_since, self.full_size = self.loop.time(), unsent(self.transport)
+        self.full_since = self.loop.time()
+        self.full_size = unsent(self.transport)
         self.loop.call_later(LINGER_S, self.linger)
 
     def linger(self) -> None:
@@ -101,7 +104,8 @@
     def reads(self, now: float) -> bool:
         """Whether a client that is behind has read more of its response lately. `now` is loop time."""
         assert self.transport is not None
-        size, self.full_size = self.full_size, unsent(self.transport)
+        size = self.full_size
+        self.full_size = unsent(self.transport)
         if self.full_size < size:
             self.full_since = now
         return now - self.full_since <= (FLOW_STALL_S if self.flowed else self.server.limits.slow)
--- a/ingress/net/console.py
+++ b/ingress/net/console.py
@@ -79,7 +79,8 @@
     """The console's listener; `calls` are the commands by name."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, calls: Mapping[str, ConsoleCommand]) -> None:
-        self.loop, self.calls = loop, calls
+        self.loop = loop
+        self.calls = calls
         self.callers: dict[ConsoleConnection, None] = {}  # in the order of their arrival
         self.listener: asyncio.Server | None = None
 
--- a/ingress/net/counter.py
+++ b/ingress/net/counter.py
@@ -30,7 +30,10 @@
     __slots__ = ("name", "text", "due", "began", "reply")
 
     def __init__(self, name: int, text: bytes, began: float, due: float) -> None:
-        self.name, self.text, self.began, self.due = name, text, began, due
+        self.name = name
+        self.text = text
+        self.began = began
+        self.due = due
         self.reply: io.CounterReply | None = None
 
 
@@ -46,7 +49,9 @@
             deque()
         )  # written; kept past their time, so that late responses are matched to their calls
         self.heard = 0.0
-        self.served = self.retired = self.closed = False
+        self.served = False
+        self.retired = False
+        self.closed = False
         self.stall: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -137,7 +142,8 @@
     """Keeps one connection to the counter's present address; calls wait for it if there is none."""
 
     def __init__(self, counter: Counter) -> None:
-        self.counter, self.loop = counter, counter.loop
+        self.counter = counter
+        self.loop = counter.loop
         self.link: CounterConnection | None = None
         self.unsent: deque[Add] = deque()
         self.unresolved: deque[Add] = deque()  # calls without a reply, oldest first
@@ -148,7 +154,9 @@
     async def run(self) -> None:
         """Connect, and again whenever the connection is lost or the counter's address changes."""
         while True:
-            address, link, began = self.counter.address, CounterConnection(self), self.loop.time()
+            address = self.counter.address
+            link = CounterConnection(self)
+            began = self.loop.time()
             self.wanted.clear()
             try:
                 async with asyncio.timeout(CONNECT_S):
@@ -171,7 +179,8 @@
 
     def connection_ready(self, link: CounterConnection) -> None:
         """A connection is open: it takes over, and waiting calls are sent on it."""
-        old, self.link = self.link, link
+        old = self.link
+        self.link = link
         waiting = [a for a in self.unsent if a.reply is None]
         self.unsent.clear()
         for add in waiting:
@@ -205,7 +214,8 @@
         """Reply to expired calls: one that was never written has certainly not been added (CONNECT_FAILED),
         others may have been (TIMEOUT)."""
         self.timer = None
-        now, link = self.loop.time(), self.link
+        now = self.loop.time()
+        link = self.link
         late = [a for a in self.unresolved if a.reply is None and a.due <= now]
         unsent = {a for a in late if a in self.unsent}
         for add in unsent:
@@ -247,7 +257,10 @@
         on_reply: Callable[[io.CounterReply], None],
         statistics: RequestStatistics | None = None,
     ) -> None:
-        self.loop, self.address, self.timeout, self.on_reply = loop, address, timeout, on_reply
+        self.loop = loop
+        self.address = address
+        self.timeout = timeout
+        self.on_reply = on_reply
         self.statistics = statistics
         self.newest = 0.0  # when the latest of the answered calls began
         self.calls: dict[int, deque[Add]] = {}  # by name, until all before them have been replied to
--- a/ingress/net/discovery.py
+++ b/ingress/net/discovery.py
@@ -48,7 +48,9 @@
 
 
 def _entry(e: Any) -> tuple[io.BackendEntry, Endpoint | None]:
-    name, status, born = e["name"], e["status"], float(e.get("since_ms") or 0) / 1000
+    name = e["name"]
+    status = e["status"]
+    born = float(e.get("since_ms") or 0) / 1000
     weight = float(e.get("weight", 1.0))
     if not isinstance(name, str) or not name or not math.isfinite(born) or not math.isfinite(weight):
         raise ValueError(f"not a backend: {e!r}")
@@ -70,7 +72,9 @@
     """
 
     def __init__(self, on_text: Callable[[bytes], int], host: Address, index: int | None) -> None:
-        self.on_text, self.host, self.index = on_text, host, index
+        self.on_text = on_text
+        self.host = host
+        self.index = index
         self.parser = httptools.HttpResponseParser(self)
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
@@ -132,7 +136,8 @@
         if self.index is not None:
             self.end("the watch ended")
             return
-        text, self.rest = bytes(self.rest), bytearray()
+        text = bytes(self.rest)
+        self.rest = bytearray()
         self.take(text)
         if self.index is None:
             self.end("no list")
@@ -153,7 +158,8 @@
     """Exponential backoff with full jitter, so that many ingresses don't overload discovery together."""
 
     def __init__(self, instances: int, rng: random.Random) -> None:
-        self.rng, self.failures = rng, 0
+        self.rng = rng
+        self.failures = 0
         self.first = max(RETRY_S, RETRY_EACH_S * instances)
 
     def next(self) -> float:
@@ -174,7 +180,10 @@
         on_listing: Callable[[DiscoverySource, Listing], None],
         backoff: Backoff,
     ) -> None:
-        self.loop, self.address, self.index, self.on_listing = loop, address, index, on_listing
+        self.loop = loop
+        self.address = address
+        self.index = index
+        self.on_listing = on_listing
         self.backoff = backoff
         self.task = loop.create_task(self.run())
 
@@ -232,8 +241,10 @@
         instances: int = 1,
         seed: int = 0,
     ) -> None:
-        self.loop, self.on_listing = loop, on_listing
-        self.instances, self.rng = instances, random.Random(seed)
+        self.loop = loop
+        self.on_listing = on_listing
+        self.instances = instances
+        self.rng = random.Random(seed)
         self.source = self.newest = self.connect_to_source(address, index)
 
     def connect_to_source(self, address: Address, index: int | None) -> DiscoverySource:
--- a/ingress/net/exchange.py
+++ b/ingress/net/exchange.py
@@ -77,14 +77,23 @@
         label: bytes = b"",
         streams: bool = False,
     ) -> None:
-        self.backend, self.message, self.may_send, self.on_end = backend, message, may_send, on_end
-        self.sink, self.upload, self.judge = sink, upload, judge
-        self.ends, self.label = ends, label  # the latter: response header with the request's id, if any
+        self.backend = backend
+        self.message = message
+        self.may_send = may_send
+        self.on_end = on_end
+        self.sink = sink
+        self.upload = upload
+        self.judge = judge
+        # the latter: response header with the request's id, if any
+        self.ends = ends
+        self.label = label
         self.connection: UpstreamConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.waits: Callable[[], bool] = lambda: False  # whether to wait for a response that stalls
         self.streams = streams  # backends may begin to execute a request before it is complete
-        self.begun = self.written = False  # its first byte has been written; and its last one
+        # its first byte has been written; and its last one
+        self.begun = False
+        self.written = False
         self.ended = False
         self.heard = 0  # the pool's count of reads at the start
 
--- a/ingress/net/http_messages.py
+++ b/ingress/net/http_messages.py
@@ -106,20 +106,27 @@
 
     def __init__(self, flows: bool = False) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self.flows, self.ends = flows, ResponseEnd()
+        self.flows = flows
+        self.ends = ResponseEnd()
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
         self.answers: list[Response] = []
         self.broken = ""
         self.partial = False  # a response has begun and isn't complete
-        self.in_head = self.until_end = self.done = self.over = False  # over: it has ended with its head
+        # over: it has ended with its head
+        self.in_head = False
+        self.until_end = False
+        self.done = False
+        self.over = False
         self.head: Response | None = None  # of the streamed response
         self.size = 0  # bytes of its body so far
         self.fed = 0  # bytes since the last ones of a body
 
     def expect(self, ends: ResponseEnd) -> None:
         """A request is sent: the next response is the one to it, which ends as given."""
-        self.ends, self.head, self.done = ends, None, False
+        self.ends = ends
+        self.head = None
+        self.done = False
 
     def feed(self, data: bytes) -> list[Response]:
         """Parse bytes; returns the responses that they complete."""
@@ -132,7 +139,8 @@
             except httptools.HttpParserUpgrade:
                 self.broken = "no other protocol is spoken here"
             if self.over and not self.partial:  # the parser still expects a body
-                self.parser, self.over = httptools.HttpResponseParser(self), False
+                self.parser = httptools.HttpResponseParser(self)
+                self.over = False
             if self.fed > MAX_WHOLE + MAX_HEAD:  # the parser would buffer an endless head
                 self.broken = self.broken or "the head is too long"
         answers, self.answers = self.answers, []
@@ -155,9 +163,15 @@
         """Parser callback: a response begins. Raises BadResponse after a streamed one."""
         if self.done:  # its last part hasn't been taken yet
             raise BadResponse("more behind a large answer")
-        self.headers, self.body, self.partial, self.in_head = {}, bytearray(), True, True
-        self.until_end = self.done = self.over = False
-        self.head, self.size = None, 0
+        self.headers = {}
+        self.body = bytearray()
+        self.partial = True
+        self.in_head = True
+        self.until_end = False
+        self.done = False
+        self.over = False
+        self.head = None
+        self.size = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser callback: a header field. Raises BadResponse for a forbidden repetition."""
@@ -171,13 +185,15 @@
     def on_headers_complete(self) -> None:
         """Parser callback: the head is complete. Raises BadResponse unless that makes the response's length
         clear, as otherwise a part of it could be taken for another response."""
-        self.fed, self.in_head = 0, False
+        self.fed = 0
+        self.in_head = False
         status = self.parser.get_status_code()
         if status < 200:
             return
         length, coding = (self.headers.get(key) for key in FRAMING)
         if self.ends.bodiless:
-            self.over, self.partial = True, False
+            self.over = True
+            self.partial = False
             self.hand_over(b"", int(length) if length is not None else None)
             return
         if status in EMPTY:
--- a/ingress/net/ingress.py
+++ b/ingress/net/ingress.py
@@ -52,7 +52,9 @@
         ] = {}  # backends that operators have cordoned, or have just uncordoned
         self.state = state or State(None)
         self.unavailable_by_cordon = False  # whether the last cordon command was valid
-        self.beside = self.sibling_clients = 0  # number of sibling processes, and of their client connections
+        # number of sibling processes, and of their client connections
+        self.beside = 0
+        self.sibling_clients = 0
         self.events: deque[io.Event] = deque()
         self.busy = False
         self.clock = 0.0
@@ -119,7 +121,8 @@
         elif isinstance(a, io.Log):
             log.info("%s", a.text)
         elif isinstance(a, io.Cordons):
-            self.cordon_entries, self.unavailable_by_cordon = a.cordon_entries, True
+            self.cordon_entries = a.cordon_entries
+            self.unavailable_by_cordon = True
         # Subscribe and FetchList need nothing: the watch is always on. UnknownBackend needs no action.
 
     # Console commands.
--- a/ingress/net/peers.py
+++ b/ingress/net/peers.py
@@ -29,7 +29,10 @@
         me: int,
         on_message: Callable[[io.PeerMessage], None],
     ) -> None:
-        self.peers, self.everyone, self.me, self.on_message = peers, everyone, me, on_message
+        self.peers = peers
+        self.everyone = everyone
+        self.me = me
+        self.on_message = on_message
         self.numbers = {address: n for n, address in enumerate(peers)}
         self.transport: asyncio.DatagramTransport | None = None
 
--- a/ingress/net/pending_request.py
+++ b/ingress/net/pending_request.py
@@ -49,11 +49,14 @@
     )
 
     def __init__(self, call: ClientRequest, client: Client, deadline: float) -> None:
-        self.call, self.client, self.deadline = call, client, deadline
+        self.call = call
+        self.client = client
+        self.deadline = deadline
         self.timer: asyncio.TimerHandle | None = None
         self.attempts = 0
         self.exchange: Exchange | None = None
-        self.answered = self.may_have_run = False
+        self.answered = False
+        self.may_have_run = False
         self.flowing = 0.0  # since when its response is being streamed; 0: it isn't
         self.ended = False  # and counted in the statistics
         self.last: Response | None = None  # response of the latest attempt that has ended
@@ -82,7 +85,10 @@
     __slots__ = ("ingress", "held", "number", "sent")
 
     def __init__(self, ingress: PendingRequestOwner, held: PendingRequest, number: int) -> None:
-        self.ingress, self.held, self.number, self.sent = ingress, held, number, ingress.loop.time()
+        self.ingress = ingress
+        self.held = held
+        self.number = number
+        self.sent = ingress.loop.time()
 
     def written(self, exchange: Exchange) -> None:
         """A streamed request body has been written completely."""
@@ -92,11 +98,13 @@
 
     def begin(self, exchange: Exchange, head: Response) -> None:
         """Begin to stream the response, unless the request has been answered or its client is gone."""
-        held, now = self.held, self.ingress.loop.time()
+        held = self.held
+        now = self.ingress.loop.time()
         if held.answered:  # its client has disconnected, or has got another response
             self.ingress.drop(exchange)
             return
-        held.answered, held.flowing = True, now
+        held.answered = True
+        held.flowing = now
         if held.timer is not None:
             held.timer.cancel()
         held.client.begin(self.ingress.lines(head), head.length, exchange)
--- a/ingress/net/pending_requests.py
+++ b/ingress/net/pending_requests.py
@@ -32,7 +32,8 @@
         load_fields: tuple[str, ...],
     ) -> None:
         super().__init__(settings, load_fields)
-        self.loop, self.upstream = loop, upstream
+        self.loop = loop
+        self.upstream = upstream
         self.effects = {c.name: c.effect for c in settings.classes}
         self.groups = {c.name: c.group for c in settings.classes}
         self.aims = {c.name: c.objective for c in settings.classes}
@@ -63,7 +64,8 @@
         held = self.held.get(call.request.id)
         if held is None or held.call is not call or held.answered:
             return
-        expires_in, call.came = call.request.expires_in, self.loop.time()
+        expires_in = call.request.expires_in
+        call.came = self.loop.time()
         held.deadline = call.came + expires_in - min(MARGIN_S, MARGIN_SHARE * expires_in)
         held.timer = self.loop.call_at(held.deadline, self.expire_request, held)
 
@@ -159,7 +161,8 @@
         if held.ended:
             return
         held.ended = True
-        r, now = held.call.request, self.loop.time()
+        r = held.call.request
+        now = self.loop.time()
         if how == "200" and (held.flowing or now) - held.call.came > self.aims[r.class_name]:
             how = "late"
         self.statistics.counts[f"{r.plan} {how}"] += 1
--- a/ingress/net/process_state.py
+++ b/ingress/net/process_state.py
@@ -15,7 +15,9 @@
 
 log = logging.getLogger(__name__)
 
-NAME, LOCK, PROCESS = "roadspur-cordons.json", "roadspur.lock", "roadspur-process-"
+NAME = "roadspur-cordons.json"
+LOCK = "roadspur.lock"
+PROCESS = "roadspur-process-"
 
 
 class State:
--- a/ingress/net/request_parser.py
+++ b/ingress/net/request_parser.py
@@ -32,7 +32,8 @@
             raise BadRequest(f"{key.decode()}: more than one")
         values[key] = value
     number = int(customer, 16)
-    call_id, budget = values.get(b"x-call-id", b""), BUDGET.fullmatch(values.get(b"x-budget", b""))
+    call_id = values.get(b"x-call-id", b"")
+    budget = BUDGET.fullmatch(values.get(b"x-budget", b""))
     class_name = values.get(b"x-call-class", b"").decode("latin-1")
     plan = values.get(b"x-tier", b"").decode("latin-1")
     cls = next((c for c in settings.classes if c.name == class_name), None)
--- a/ingress/net/request_statistics.py
+++ b/ingress/net/request_statistics.py
@@ -16,7 +16,8 @@
     """Counts by kind, and a sample of the bad requests: never a log line for each request."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, write: logging.Logger = log) -> None:
-        self.loop, self.write = loop, write
+        self.loop = loop
+        self.write = write
         self.counts = Counter[str]()  # since the last report
         self.totals = Counter[str]()  # since the start, for the console
         self.sampled = -SAMPLE_S
--- a/ingress/net/response_queue.py
+++ b/ingress/net/response_queue.py
@@ -46,7 +46,8 @@
 
     def resume_writing(self) -> None:
         """The client reads again."""
-        self.full_since, self.flowed = 0.0, self.source is not None
+        self.full_since = 0.0
+        self.flowed = self.source is not None
         if self.source is not None:
             self.source.resume()
         self.proceed()
@@ -82,7 +83,8 @@
         if call is not None:
             self.release(call)
         if status == 400:  # rejected only by the handler, for a duplicate id
-            self.discarding_input, self.keep = True, False
+            self.discarding_input = True
+            self.keep = False
         if call is not None and call.unfinished:
             self.keep = False
             call.drop_rest()
@@ -98,7 +100,8 @@
         self.chunked = length is None and self.call.chunks
         self.endless = length is None and not self.chunked
         self.keep = self.keep and not self.endless
-        self.source, self.flowed = source, True
+        self.source = source
+        self.flowed = True
         lines += b"Content-Length: %d\r\n" % length if length is not None else CHUNKED * self.chunked
         self.write_head(200, lines)
 
@@ -111,7 +114,8 @@
         """The streamed response is complete: go on with the next request, or close."""
         if self.call is not None:
             self.call.drop_rest()
-        self.call = self.source = None
+        self.call = None
+        self.source = None
         if self.transport is None or self.closing:
             return
         if self.chunked:
@@ -124,7 +128,8 @@
 
     def break_off(self) -> None:
         """The rest of a streamed response is lost: abort, so that the client sees that it is incomplete."""
-        self.call = self.source = None
+        self.call = None
+        self.source = None
         if self.transport is not None:
             self.cut()
 
--- a/ingress/net/server.py
+++ b/ingress/net/server.py
@@ -31,16 +31,18 @@
         bodies_most: int = 0,
         limits: Limits | None = None,
     ) -> None:
-        self.loop, self.ingress, self.most, self.limits = (
-            loop,
-            ingress,
-            most,
-            limits or connection_interfaces.USUAL,
-        )
-        self.bodies, self.bodies_most = 0, bodies_most  # bytes of larger buffered bodies
+        self.loop = loop
+        self.ingress = ingress
+        self.most = most
+        self.limits = limits or connection_interfaces.USUAL
+        # bytes of larger buffered bodies
+        self.bodies = 0
+        self.bodies_most = bodies_most
         self.connections: set[ClientConnection] = set()
         self.order: Iterator[int] = itertools.count()  # for the order of last reads: the clock is too coarse
-        self.draining = self.leaving = False  # temporarily; and for the end of the process
+        # temporarily; and for the end of the process
+        self.draining = False
+        self.leaving = False
         self.drain_task: asyncio.Task[None] | None = None
         self.listener: asyncio.Server | None = None
         self.sweeper = loop.call_later(SWEEP_S, self.sweep)
@@ -113,7 +115,8 @@
             return False
         if self.drain_task is not None:
             self.drain_task.cancel()
-        self.draining, self.drain_task = False, None
+        self.draining = False
+        self.drain_task = None
         return True
 
     async def leave(self) -> None:
--- a/ingress/net/service_protocol.py
+++ b/ingress/net/service_protocol.py
@@ -19,7 +19,8 @@
     ends = PLAIN  # how responses end, except those to HEAD
 
     def __init__(self, settings: io.Settings, load_fields: tuple[str, ...]) -> None:
-        self.settings, self.load_fields = settings, load_fields
+        self.settings = settings
+        self.load_fields = load_fields
 
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]]
--- a/ingress/net/upload.py
+++ b/ingress/net/upload.py
@@ -25,10 +25,13 @@
     """
 
     def __init__(self, length: int | None, hold: Callable[[bool], None]) -> None:
-        self.length, self.hold = length, hold
+        self.length = length
+        self.hold = hold
         self.kept = bytearray()
         self.writer: UploadWriter | None = None
-        self.whole = self.spent = self.unwanted = False
+        self.whole = False
+        self.spent = False
+        self.unwanted = False
 
     def feed(self, data: bytes) -> None:
         """A part of the body has been received."""
@@ -52,7 +55,8 @@
 
     def attach(self, writer: UploadWriter) -> None:
         """An attempt begins: write what is buffered to its connection, and then what follows."""
-        self.writer, self.spent = writer, True
+        self.writer = writer
+        self.spent = True
         if self.kept:
             writer.body(self.framed(bytes(self.kept)))
             self.kept.clear()
@@ -69,6 +73,7 @@
 
     def drop(self) -> None:
         """The request has its final response: the rest of the body is read and discarded."""
-        self.writer, self.unwanted = None, True
+        self.writer = None
+        self.unwanted = True
         self.kept.clear()
         self.hold(False)
--- a/ingress/net/upstream.py
+++ b/ingress/net/upstream.py
@@ -24,12 +24,15 @@
     """One connection to a backend; it carries one exchange at a time."""
 
     def __init__(self, pool: Pool, sock: socket.socket) -> None:
-        self.pool, self.sock = pool, sock
+        self.pool = pool
+        self.sock = sock
         self.transport: asyncio.Transport | None = None
         self.reader = ResponseReader(flows=True)
         self.exchange: Exchange | None = None
         self.idle_since = 0.0
-        self.closed = self.flowing = self.paused = False
+        self.closed = False
+        self.flowing = False
+        self.paused = False
         self.saw_foreign_answer = False  # a response to another request was received
         self.stall: asyncio.TimerHandle | None = None
 
@@ -57,9 +60,11 @@
     def send(self, exchange: Exchange) -> None:
         """Write the request. After its last byte a failure counts as a reset: the backend may have it all."""
         assert self.transport is not None
-        self.exchange, exchange.connection = exchange, self
+        self.exchange = exchange
+        exchange.connection = self
         self.reader.expect(exchange.ends)
-        exchange.begun, exchange.written = True, exchange.upload is None
+        exchange.begun = True
+        exchange.written = exchange.upload is None
         self.transport.write(exchange.message())
         if exchange.upload is not None:
             exchange.upload.attach(self)
@@ -132,7 +137,8 @@
     def flow(self, head: Response, surplus: bool) -> None:
         """Pass on the received part of a streamed response. One that isn't a success, or that nobody receives
         (a probe's), ends the connection. `surplus`: complete responses came in the same read."""
-        exchange, reader = self.exchange, self.reader
+        exchange = self.exchange
+        reader = self.reader
         if exchange is None or exchange.sink is None or exchange.judge(head) is not io.Outcome.OK:
             self.corrupt("the body is too large")
             return
@@ -232,7 +238,9 @@
     def __init__(
         self, backend: str, endpoint: Endpoint, loop: asyncio.AbstractEventLoop, connections: set[Connection]
     ) -> None:
-        self.backend, self.endpoint, self.loop = backend, endpoint, loop
+        self.backend = backend
+        self.endpoint = endpoint
+        self.loop = loop
         self.idle: list[Connection] = []
         self.connections = connections  # those of all pools, also of retired ones: each takes a descriptor
         self.retired = False  # the backend has moved or restarted: no connection is kept for reuse
@@ -280,7 +288,9 @@
         most: int,
         silent: float = 0.0,
     ) -> None:
-        self.loop, self.connect_timeout, self.most = loop, connect_timeout, most
+        self.loop = loop
+        self.connect_timeout = connect_timeout
+        self.most = most
         self.silent = silent  # TCP user timeout in seconds; 0: the system's
         self.idle = IDLE_SHARE * idle
         self.pools: dict[str, Pool] = {}
--- a/ingress/net/upstream_attempts.py
+++ b/ingress/net/upstream_attempts.py
@@ -37,10 +37,12 @@
             done = held is None or held.answered
             self.submit(io.AttemptEnded(a.request, number, a.backend, io.Outcome.NOT_SENT, 0.0, done))
             return
-        number, held.attempts = held.attempts, held.attempts + 1
+        number = held.attempts
+        held.attempts = held.attempts + 1
         held.attempt_history.append((now, a.backend))
 
-        upload, passing = held.call.upload, ResponseRelay(self, held, number)
+        upload = held.call.upload
+        passing = ResponseRelay(self, held, number)
 
         def message() -> bytes:
             self.statistics.totals["upstream_requests"] += upload is None
@@ -83,7 +85,8 @@
         held.attempt_history.append((self.loop.time(), outcome.value))
         self.statistics.counts[f"attempt {outcome.value}"] += 1
         held.may_have_run |= exchange.may_have_run and outcome not in io.NEVER_RAN
-        held.last, units = answer, 0.0
+        held.last = answer
+        units = 0.0
         if answer is not None and outcome is io.Outcome.OK:
             units = read_number(answer.headers.get(b"x-cost-units", b""))
             if units > self.settings.max_units:  # more than any request may cost: invalid
--- a/ingress/opencap.py
+++ b/ingress/opencap.py
@@ -14,7 +14,9 @@
 OPEN_AIMS = 2.0  # window of a count in longest objectives; a new one starts with the requests open then
 VERDICT_PART = 0.6  # factor on a verdict's gain: one on the cap takes two calls, one on a rate gains more
 PACE_S = 8.0  # decay time of a customer's arrivals
-PACE_PRIOR, PACE_PRIOR_S = 0.25, 2.0  # prior for the open requests of a new customer, of its cap; its weight
+# prior for the open requests of a new customer, of its cap; its weight
+PACE_PRIOR = 0.25
+PACE_PRIOR_S = 2.0
 ARRIVAL = 1e-4  # added to the count for each arrival, so that totals also contain the number of arrivals
 RATE_PRIOR_S = 0.5  # into a window, after which arrivals by its total outweigh those seen here
 KEEP = 2  # token of the timer that releases reserved places
@@ -22,7 +24,8 @@
 
 def beyond(pace: float, most: int) -> float:
     """The probability that at least `most` are open (Poisson, mean `pace`), if none is rejected."""
-    chance, below = math.exp(-pace), 0.0
+    chance = math.exp(-pace)
+    below = 0.0
     for n in range(most):
         below += chance
         chance *= pace / (n + 1)
@@ -41,7 +44,8 @@
     """Admission of each customer's open requests at one ingress, and their count."""
 
     def __init__(self, gw: Routing, call_policy: CounterCallPolicy) -> None:
-        self.gw, self.call_policy = gw, call_policy
+        self.gw = gw
+        self.call_policy = call_policy
         self.calls: dict[int, deque[tuple[Customer, int, int, ActiveRequest | None]]] = {}
         self.open: dict[str, Customer] = {}  # the customer of each open request
         self.best: dict[str, float] = {}  # by plan: the mean of open requests that gains most without counts
@@ -50,7 +54,8 @@
 
     def enter(self, now: float, f: ActiveRequest) -> None:
         """Send a request that is within its rate quota, if the cap on open requests has room."""
-        c, most = f.customer, f.customer.plan.max_open
+        c = f.customer
+        most = f.customer.plan.max_open
         if most <= 0:
             return self.gw.send(now, f)
         f.pace = self.pace(now, f)
@@ -72,7 +77,8 @@
 
     def pace(self, now: float, f: ActiveRequest) -> float:
         """Estimate the requests that a customer would keep open, from arrivals here and from totals."""
-        c, span = f.customer, PACE_S * (1 - math.exp((self.gw.began - now) / PACE_S))
+        c = f.customer
+        span = PACE_S * (1 - math.exp((self.gw.began - now) / PACE_S))
         came = c.came * math.exp((c.came_at - now) / PACE_S)
         prior = PACE_PRIOR_S * PACE_PRIOR * c.plan.max_open
         own = (came * c.width * self.gw.latency[f.cls.name] + prior) / (span + PACE_PRIOR_S)
@@ -121,7 +127,8 @@
         """Add the change in open requests here to this window's count; to a new one, all that are open."""
         window = int(now // self.length)
         if c.counted_in != window:
-            c.counted, c.counted_in = 0, window
+            c.counted = 0
+            c.counted_in = window
         change = c.out - c.counted
         if not self.gw.s.counter or (change == 0 and f is None):
             return
@@ -144,7 +151,8 @@
         total = math.floor(e.total + ARRIVAL / 2)
         if e.outcome is io.Outcome.OK and now > window * self.length:
             told_s = now - window * self.length
-            c.rate, c.rate_at = (e.total - total) / ARRIVAL / told_s, now
+            c.rate = (e.total - total) / ARRIVAL / told_s
+            c.rate_at = now
             c.rate_part = told_s / (told_s + RATE_PRIOR_S)
         if f is None or f.req.id not in self.gw.active_requests:
             return
