--- a/ingress/routing.py
+++ b/ingress/routing.py
@@ -21,10 +21,9 @@
 )
 SWEEP_INTERVAL_S = 0.05  # interval of checks for silent backends, and of the queue
 AIM_PART = 0.16  # fraction of its objective that a class's unloaded latency is taken to be at most
-REJECTION_COST, REJECTION_MEMORY_S = (
-    4.0,
-    10.0,
-)  # added cost of a backend that surely rejects a class or plan; decay time of rejections
+# added cost of a backend that surely rejects a class or plan; decay time of rejections
+REJECTION_COST = 4.0
+REJECTION_MEMORY_S = 10.0
 LATENCY_RATIO_CAP = 4.0  # times the unloaded latency, at which a latency is capped
 COLD_SAFETY = 0.5  # fraction of the stated cold budget that is used, as the warm rate is only an estimate
 COLD_QUEUE_LIMIT = (
@@ -32,7 +31,9 @@
 )
 COLD_BURST = 1.5  # most tokens (attempts) saved up for a cold backend
 UNTRIED_COST = 1.15  # relative cost of a backend that has not answered here yet
-TIE, RATE_S = 0.02, 5.0  # random cost that breaks ties; decay time of the rate of answers
+# random cost that breaks ties; decay time of the rate of answers
+TIE = 0.02
+RATE_S = 5.0
 FAULTS = (io.Outcome.ERROR, io.Outcome.RESET, io.Outcome.CONNECT_FAILED)
 ANSWERS = (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.RESET, io.Outcome.FULL)
 
@@ -48,7 +49,9 @@
         rng: random.Random,
         now: float,
     ) -> None:
-        self.s, self.rng, self.began = settings, rng, now
+        self.s = settings
+        self.rng = rng
+        self.began = now
         self.classes = {c.name: c for c in classes}
         self.active_requests: dict[str, ActiveRequest] = {}
         self.fleet = Fleet(settings, rng)
@@ -60,7 +63,9 @@
         self.armed = False  # whether the sweep timer is set
         self.limit = ConcurrencyLimit(now)
         self.rejection_share = dict.fromkeys((*self.classes, *plans), 0.0)  # rejected fraction of attempts
-        self.rate, self.rate_at = 0.0, now  # attempts a second to one warm backend
+        # attempts a second to one warm backend
+        self.rate = 0.0
+        self.rate_at = now
         self.step = 0.1
         self.acts: list[io.Action] = []
 
@@ -94,7 +99,8 @@
                 return self.refuse(now, f, 0.0)  # early, not late
             return bisect.insort_right(self.queue, f, key=lambda g: -g.value)
         f.attempts += 1
-        f.sent, f.attempt_out = now, True
+        f.sent = now
+        f.attempt_out = True
         if not f.req.flows:  # no work for a backend before it is complete
             self.occupy(now, f, best)
         if self.fleet.cold(now, best) < 1.0:
@@ -108,9 +114,11 @@
 
     def written(self, now: float, e: io.AttemptWritten) -> None:
         """A streamed body was sent completely: the request's latency counts only from now."""
-        f, b = self.active_requests.get(e.request), self.fleet.backends.get(e.backend)
+        f = self.active_requests.get(e.request)
+        b = self.fleet.backends.get(e.backend)
         if f is not None and b is not None:
-            f.sent, f.aim = now, now + min(f.cls.objective, f.req.expires_in)
+            f.sent = now
+            f.aim = now + min(f.cls.objective, f.req.expires_in)
             self.occupy(now, f, b)
 
     def dispatch(self, now: float) -> None:
@@ -124,7 +132,8 @@
 
     def review(self, now: float) -> None:
         """Send queued requests, or refuse those that can't meet their objective any more: none may starve."""
-        held, self.queue = self.queue, []
+        held = self.queue
+        self.queue = []
         for f in held:
             if f.req.id in self.active_requests:
                 self.send(now, f)
@@ -204,7 +213,8 @@
                 cost *= usual
             cost *= 1 + TIE * self.rng.random()
             if best is None or cost < least:
-                best, least = b, cost
+                best = b
+                least = cost
         return best
 
     def cost(self, now: float, f: ActiveRequest, b: Backend) -> float:
@@ -240,7 +250,8 @@
 
     def ended(self, now: float, e: io.AttemptEnded) -> None:
         """An attempt has ended: learn from it, then finish the request, retry it or refuse it."""
-        b, f = self.fleet.backends.get(e.backend), self.active_requests.get(e.request)
+        b = self.fleet.backends.get(e.backend)
+        f = self.active_requests.get(e.request)
         if b is not None:
             _, name, plan = b.out.pop(e.request, (now, "", ""))
             if name:
@@ -250,7 +261,8 @@
             return self.left(now, e.request)
         f.attempt_out = False
         if e.outcome not in io.NEVER_RAN and f.ran_at is None:
-            f.ran_at, f.ran_on = f.sent, b.entry if b is not None else None
+            f.ran_at = f.sent
+            f.ran_on = b.entry if b is not None else None
         if e.done:
             del self.active_requests[e.request]
             self.left(now, e.request)
@@ -271,7 +283,8 @@
             # The cap: a few very expensive requests are no overload.
             times = min(e.elapsed / self.base[name], LATENCY_RATIO_CAP)
             b.ratio = self.slowness(b, 1.0)
-            b.ratio, b.known = b.ratio + self.step * (times - b.ratio), True
+            b.ratio = b.ratio + self.step * (times - b.ratio)
+            b.known = True
             self.limit.observe(now, times, e.elapsed, self.fleet.usable, self.s.instances)
         if e.outcome in (io.Outcome.OK, io.Outcome.FULL):
             for key in (name, plan):  # some backends reject one class or plan; a full fleet rejects all
@@ -282,7 +295,8 @@
             each = 1 / RATE_S / max(1, self.fleet.usable)
             self.rate = self.rate * math.exp((self.rate_at - now) / RATE_S) + each
             self.rate_at = now
-            b.errors, b.trial = 0.8 * b.errors, False
+            b.errors = 0.8 * b.errors
+            b.trial = False
             held = e.load.get("inflight", 0.0)  # of all ingresses: each sends one more for one served
             if held <= COLD_QUEUE_LIMIT and self.fleet.cold(now, b) < 1.0:  # an answer adds a token
                 b.tokens = min(COLD_BURST, b.tokens + 1.0)
--- a/simulation/allowance.py
+++ b/simulation/allowance.py
@@ -71,7 +71,8 @@
 def read(lines: Iterable[str]) -> Iterator[LogLine]:
     """Yield the lines of the quota logger among others."""
     for before, entry in objects(lines, QUOTA_LOGGER):
-        time, name = TIME.search(before), NAME.search(before)
+        time = TIME.search(before)
+        name = NAME.search(before)
         at = float(time[1]) if time else float(entry.get("time", 0.0))
         yield LogLine(at, f"{name[0]} {entry['node']}" if name else str(entry.get("node", "")), entry)
 
@@ -127,7 +128,8 @@
 
 def quantile(counts: list[int], part: float) -> float:
     """A quantile in seconds of a histogram, interpolated within its bucket; 0 if it is empty."""
-    wanted, passed = part * sum(counts), 0
+    wanted = part * sum(counts)
+    passed = 0
     for bucket, count in enumerate(counts):
         if count and passed + count >= wanted:
             low = EDGES[bucket - 1] if bucket else 0.0
@@ -141,7 +143,8 @@
     """Requests asked, admitted and refused, by tenant and precedence, with late retries apart."""
     rows: Table = [("tenant", "precedence", "asked", "admitted", "refused early", "in part", *DECISION_KINDS)]
     for (tenant, level), counts in sorted(day.decided.items()):
-        asked, admitted = sum(counts), counts[HOLDER] + counts[SHARE]
+        asked = sum(counts)
+        admitted = counts[HOLDER] + counts[SHARE]
         rows.append(
             (
                 tenant,
--- a/simulation/capacity/agreement.py
+++ b/simulation/capacity/agreement.py
@@ -15,17 +15,28 @@
 from simulation.model.machines import RESTART_S, START_S
 from simulation.model.processes import ControllerProcess
 
-STUDY, CUT_STUDY = "agreement", "region-cut"
-LATENCY_AXIS, CUT_AXIS = "members", "seconds of the cut"
-ORDERS, QUICK_ORDERS = 30, 5
-SEEDS, QUICK_SEEDS = 8, 1
+STUDY = "agreement"
+CUT_STUDY = "region-cut"
+LATENCY_AXIS = "members"
+CUT_AXIS = "seconds of the cut"
+ORDERS = 30
+QUICK_ORDERS = 5
+SEEDS = 8
+QUICK_SEEDS = 1
 FINE_S = 0.002
-OK, REDIRECT = 200, 307
-ORDER_MOST_S, ELECT_MOST_S = 8.0, 10.0
-CUT_S, QUICK_CUT_S = 300.0, 2.0
-HEAL_S, QUICK_HEAL_S = 15.0, 3.0
-WARM_S, QUICK_WARM_S = 15.0, 2.0
-CUT_TENANTS, CUT_INGRESSES, CUT_REQUESTS = 12, 12, 10.0
+OK = 200
+REDIRECT = 307
+ORDER_MOST_S = 8.0
+ELECT_MOST_S = 10.0
+CUT_S = 300.0
+QUICK_CUT_S = 2.0
+HEAL_S = 15.0
+QUICK_HEAL_S = 3.0
+WARM_S = 15.0
+QUICK_WARM_S = 2.0
+CUT_TENANTS = 12
+CUT_INGRESSES = 12
+CUT_REQUESTS = 10.0
 CUT_MARKS = (1.0, 2.0, 5.0, 10.0, 12.0, 15.0, 30.0, 60.0, 120.0, 300.0)
 
 
@@ -45,7 +56,8 @@
 
 def layouts() -> list[Layout]:
     """All layouts that are compared. `spread` has each member as far from each other one."""
-    near, far = design.ZONE_DELAY_S, design.REGION_DELAY_S
+    near = design.ZONE_DELAY_S
+    far = design.REGION_DELAY_S
     return [
         Layout("one region", (1, 1, 1, 0, 0, 0), near, near),
         Layout("one region", (2, 2, 1, 0, 0, 0), near, near),
@@ -121,7 +133,8 @@
 
 def lose_leader(fleet: Fleet) -> dict[str, float]:
     """Take the leader's power; seconds until another one is sure, and until it has acknowledged an order."""
-    lost, began = _leader(fleet), fleet.simulator.now
+    lost = _leader(fleet)
+    began = fleet.simulator.now
     machine = fleet.machine(lost)
     machine.kill(power=True)
     fleet.until(lambda: fleet.leader() not in (None, lost), ELECT_MOST_S, FINE_S)
@@ -146,7 +159,8 @@
 
 def submit(fleet: Fleet, process: ControllerProcess) -> list[int]:
     """Send a change of one route to a controller; its status is put into the list that is returned."""
-    generation, status = process.controller_node.config_state.generation, list[int]()
+    generation = process.controller_node.config_state.generation
+    status = list[int]()
     entry = documents.route_entry(0, 1, deadline_s=2.0 + (generation % 100) / 100)
     entry["spec"]["target"] = fleet.spec.services[0].name
     body = json.dumps(documents.patch(generation, entry)).encode()
@@ -254,7 +268,8 @@
     for controller in fleet.controllers():
         if fleet.region_name(controller.place.zone) != region:
             continue
-        status, leader = _answered(fleet, controller), fleet.leader()
+        status = _answered(fleet, controller)
+        leader = fleet.leader()
         reached = leader is not None and fleet.network.reaches(controller.place, leader.place)
         if status == REDIRECT and leader is not None and reached:
             status = _answered(fleet, leader)
--- a/simulation/capacity/budget.py
+++ b/simulation/capacity/budget.py
@@ -15,7 +15,10 @@
 from simulation.capacity.figures import Estimate, Figures, Part, scaled, together
 from simulation.capacity.growth import TOTAL
 
-INGRESS, LEADER, CONTROLLER, TOOLS = "ingress", "leader", "controller", "operators' tools"
+INGRESS = "ingress"
+LEADER = "leader"
+CONTROLLER = "controller"
+TOOLS = "operators' tools"
 CHANGES_PER_S: Final = design.CHANGES_PER_DAY / design.SECONDS_PER_DAY
 LINK_BYTES_PER_S: Final = 125e6
 """Of a controller's network link of 1 Gbit/s, which is assumed."""
@@ -82,7 +85,8 @@
     f: Figures, role: str, planes: dict[str, tuple[str, str]], core: float, cause: str
 ) -> Iterator[BudgetLine]:
     """A role's processor time in % of a core: each plane (mechanism, cause), system calls, and all of it."""
-    measure, unit = "processor time", "% of a core"
+    measure = "processor time"
+    unit = "% of a core"
     for plane, (mechanism, plane_cause) in planes.items():
         estimate = scaled(f.estimate(role, plane, "processor"), 100.0)
         yield BudgetLine(role, plane, measure, unit, core, estimate, mechanism, plane_cause)
@@ -185,7 +189,8 @@
 def _added_time(f: Figures) -> BudgetLine:
     """Of real ingresses, with the most tenants that were tried; with more it isn't known."""
     points = f.series(programs.AXIS, "added time, 99th percentile")
-    first, last = points[0], points[-1]
+    first = points[0]
+    last = points[-1]
     grown = Part("tenants", first.size, last.size, last.value - first.value)
     estimate = Estimate(last.value, (Part("process", 0, 0, first.value), grown))
     name = f"time added over loopback, 99th percentile, with {last.size:,.0f} tenants"
--- a/simulation/capacity/configuration.py
+++ b/simulation/capacity/configuration.py
@@ -27,7 +27,8 @@
 
 AXES = ("routes", "tenants", "whole")
 """What grows: routes alone, tenants alone, or both with the services."""
-REPETITIONS, QUICK_REPETITIONS = 3, 1
+REPETITIONS = 3
+QUICK_REPETITIONS = 1
 QUOTA_SPAN_S = 5.0
 STATM = "/proc/self/statm"
 PAGE_BYTES = 4096
@@ -87,13 +88,16 @@
         self.live = watch.run(
             f"{prefix}: drift detector", lambda: LiveCheck(document, expected, compiled_config, self.live)
         )
-        self.config_state, self.compiled_config, self.expected = config_state, compiled_config, expected
+        self.config_state = config_state
+        self.compiled_config = compiled_config
+        self.expected = expected
 
 
 def shapes(axis: str, quick: bool) -> Iterator[Shape]:
     """Five sizes along an axis; three small ones if it is to be quick."""
     for part in (64, 96, 128) if quick else (16, 8, 4, 2, 1):
-        routes, tenants = design.ROUTES // part, design.TENANTS // part
+        routes = design.ROUTES // part
+        tenants = design.TENANTS // part
         services = max(1, design.SERVICES // part)
         if axis == "routes":
             yield Shape(axis, routes, routes, 100, design.SERVICES)
--- a/simulation/capacity/figures.py
+++ b/simulation/capacity/figures.py
@@ -16,7 +16,8 @@
 """Ingresses of the fleets in which requests and tenants were varied."""
 LEAST_CERTAINTY = 0.7
 """R squared of a line, below which a figure isn't taken to grow along an axis."""
-INGRESS, PROCESSOR = "ingress", "processor"
+INGRESS = "ingress"
+PROCESSOR = "processor"
 MESSAGES: Final = ("agreement", "membership", "quota", BACKENDS)
 WORK: Final = (TIMERS, REQUESTS, *MESSAGES)
 """Planes with messages, and all that processor time is charged to."""
@@ -38,7 +39,8 @@
 }
 """The axes, beside ingresses, along which a plane's work can grow by what its code does. Along others a
 change is noise, which a line would carry far beyond what was measured."""
-RECEIVED, SENT = "received", "sent"
+RECEIVED = "received"
+SENT = "sent"
 
 
 class Part(NamedTuple):
@@ -126,7 +128,8 @@
     def _added(self, axis: str, figure: str, measured: float, wanted: float) -> float:
         """How much a figure grows along an axis: as measured at the size to design for, else by its line,
         where one explains what was measured."""
-        points, line = self.series(axis, figure), self.line(axis, figure)
+        points = self.series(axis, figure)
+        line = self.line(axis, figure)
         if points[-1].size >= wanted:
             return max(0.0, points[-1].value - points[0].value)
         return max(0.0, line.slope) * (wanted - measured) if line.certainty >= LEAST_CERTAINTY else 0.0
--- a/simulation/capacity/fleet.py
+++ b/simulation/capacity/fleet.py
@@ -18,7 +18,8 @@
 from simulation.model.simulator import Simulator
 from simulation.spec import Bounds, Kind, Links, Service, Spec, Tenants
 
-CONTROLLER, INGRESS = "controller", "proxy"
+CONTROLLER = "controller"
+INGRESS = "proxy"
 """The two programs, by their names in the settings."""
 ZONES = tuple(f"zone-{n}" for n in range(1, design.ZONES + 1))
 TWO_REGIONS = (0, 0, 0, 1, 1, 1)
@@ -99,8 +100,10 @@
     """A hollow fleet in the making, and what it is told to do."""
 
     def __init__(self, size: FleetSize, seed: int) -> None:
-        self.size, self.spec = size, size.spec()
-        self.simulator, self.rng = Simulator(seed), random.Random(seed)
+        self.size = size
+        self.spec = size.spec()
+        self.simulator = Simulator(seed)
+        self.rng = random.Random(seed)
         self.record = Record()
         self.record.bounds = self.spec.bounds
         self.deployment = Deployment(self.simulator, self.spec, self.record)
--- a/simulation/capacity/former_names.py
+++ b/simulation/capacity/former_names.py
@@ -50,7 +50,8 @@
     """A figure's present name, for instance of `ingress: quota: alive sent: bytes`."""
     parts = figure.split(SEPARATOR)
     if len(parts) == 4:
-        plane, (kind, _, direction) = parts[1], parts[2].partition(" ")
+        plane = parts[1]
+        kind, _, direction = parts[2].partition(" ")
         parts[2] = f"{_CURRENT_KIND.get((plane, kind), kind)} {direction}"
     elif len(parts) == 2:
         parts[1] = RENAMED_STEPS.get(parts[1], parts[1])
--- a/simulation/capacity/growth.py
+++ b/simulation/capacity/growth.py
@@ -18,11 +18,15 @@
 from simulation.capacity.meter import Counts
 from simulation.capacity.samples import Sample
 
-SETTLE_S, QUICK_SETTLE_S = 5.0, 0.5
+SETTLE_S = 5.0
+QUICK_SETTLE_S = 0.5
 """Seconds after the start in which heartbeats are more frequent than later."""
-WINDOW_S, SHORT_WINDOW_S, QUICK_WINDOW_S = 6.0, 2.0, 1.0
+WINDOW_S = 6.0
+SHORT_WINDOW_S = 2.0
+QUICK_WINDOW_S = 1.0
 """Seconds of a window: as a rule, of the largest fleet, and where it is to be quick."""
-WINDOWS, QUICK_WINDOWS = 3, 2
+WINDOWS = 3
+QUICK_WINDOWS = 2
 LARGEST = design.INGRESSES
 SMALL = FleetSize(ingresses=3, members=(1, 0, 1, 0, 1, 0), requests=40.0)
 """For many tenants, whose number memory bounds."""
--- a/simulation/capacity/meter.py
+++ b/simulation/capacity/meter.py
@@ -35,7 +35,9 @@
 """Bytes of a call's head and its segment's headers, about."""
 DATAGRAM_HEADERS: Final = 28
 """Bytes of IPv4 and UDP."""
-SEGMENT_HEADERS, SEGMENT_BYTES, FRAME_BYTES = 52, 1448, 4
+SEGMENT_HEADERS = 52
+SEGMENT_BYTES = 1448
+FRAME_BYTES = 4
 """Bytes of IPv4 and TCP with timestamps, of a segment's content, and of the length before a message."""
 
 
@@ -84,7 +86,8 @@
     """Sits between a hollow process and the simulated network."""
 
     def __init__(self, process: Program, network: LinkNetwork) -> None:
-        self.process, self.network = process, network
+        self.process = process
+        self.network = network
         self.counts = Counts()
         self.taking = self.take
         self.give: Callable[[Address, int, Any], None] = process.take
@@ -95,8 +98,10 @@
 
     def reset(self) -> None:
         """Begin a new measuring window. Links that are open stay open."""
-        links, self.counts = self.counts.links, Counts()
-        self.counts.links, self.counts.most_links = links, len(links)
+        links = self.counts.links
+        self.counts = Counts()
+        self.counts.links = links
+        self.counts.most_links = len(links)
 
     def act(self, call: Callable[..., Any], args: tuple[Any, ...]) -> None:
         """Let the process do one thing, and charge its processor time to a plane."""
@@ -123,7 +128,8 @@
         data = message.SerializeToString()
         size = len(data) + 1
         self._count("sent", plane, message, size)
-        process, used = self.process, self.counts.links.get(to, -OUTBOUND_IDLE_S)
+        process = self.process
+        used = self.counts.links.get(to, -OUTBOUND_IDLE_S)
         kept = process.simulator.now - used < OUTBOUND_IDLE_S
         target = process.machine.deployment.ports.get(to)
         if target is None or (size > MAX_DATAGRAM_BYTES and not self._link(to)):
@@ -148,7 +154,8 @@
     def _link(self, to: Address) -> bool:
         """Whether there is a TCP link to a process, or may be: a program opens at most
         `MAX_OUTBOUND_LINKS`, and loses what would need another."""
-        now, links = self.process.simulator.now, self.counts.links
+        now = self.process.simulator.now
+        links = self.counts.links
         for address in [a for a, used in links.items() if a != to and now - used > OUTBOUND_IDLE_S]:
             del links[address]
         if to not in links and len(links) >= MAX_OUTBOUND_LINKS:
--- a/simulation/capacity/page.py
+++ b/simulation/capacity/page.py
@@ -151,7 +151,8 @@
 
 
 def _row(line: BudgetLine, known: Mapping[str, remedies.Remedy]) -> tuple[str, ...]:
-    budget, value = f"{number(line.budget)} {line.unit}", number(line.estimate.value)
+    budget = f"{number(line.budget)} {line.unit}"
+    value = number(line.estimate.value)
     return (
         line.plane,
         line.name,
--- a/simulation/capacity/programs.py
+++ b/simulation/capacity/programs.py
@@ -20,20 +20,29 @@
 from simulation.loopback.local_cluster import BACKENDS_AT, LocalCluster, LocalMachine
 from simulation.spec import Service, Spec
 
-STUDY, AXIS = "programs", "tenants of real programs"
-SIZES, QUICK_SIZES = (1_000, 5_500, 22_000), (10, 20, 30)
+STUDY = "programs"
+AXIS = "tenants of real programs"
+SIZES = (1_000, 5_500, 22_000)
+QUICK_SIZES = (10, 20, 30)
 ROUTES_PER_TENANT = 20
 PORT: Final = 19_600
 SERVICE: Final = "service-0"
-WORK_S, CAPACITY, BACKENDS = 0.005, 8, 2
-REQUESTS, QUICK_REQUESTS, BATCHES = 300, 2, 3
+WORK_S = 0.005
+CAPACITY = 8
+BACKENDS = 2
+REQUESTS = 300
+QUICK_REQUESTS = 2
+BATCHES = 3
 PACE_S: Final = 0.005
 """Between two requests, so that none waits for another."""
-WAIT_S, POLL_S = 30.0, 0.01
-SETTLE_S, QUICK_SETTLE_S = 2.0, 0.2
+WAIT_S = 30.0
+POLL_S = 0.01
+SETTLE_S = 2.0
+QUICK_SETTLE_S = 0.2
 KEY: Final = "key-of-the-caller"
 MILLISECONDS: Final = 1000.0
-CONTROLLER, INGRESS = "controller", "proxy"
+CONTROLLER = "controller"
+INGRESS = "proxy"
 
 
 class ProgramsError(RuntimeError):
@@ -113,7 +122,8 @@
     caller["spec"] |= {"api-keys": [KEY], "rate-per-s": 10_000, "burst": 10_000}
     document["resource-list"].append(caller)
     document |= {"generation": base + 1, "base-version": base}
-    body, rng = json.dumps(document).encode(), random.Random(1)
+    body = json.dumps(document).encode()
+    rng = random.Random(1)
     controls = [machine.address("control") for machine in cluster.core]
     ends = time.monotonic() + WAIT_S
     while time.monotonic() < ends:
--- a/simulation/capacity/regions.py
+++ b/simulation/capacity/regions.py
@@ -13,10 +13,15 @@
 from simulation.capacity.samples import Sample
 from simulation.model.processes import ProxyProcess
 
-STUDY, AXIS = "regions", "regions"
-INGRESSES, TENANTS, REQUESTS = 12, 12, 10.0
-SETTLE_S, QUICK_SETTLE_S = 15.0, 2.0
-PROPOSAL_TIMEOUT_S, QUICK_LOST_S = 40.0, 2.0
+STUDY = "regions"
+AXIS = "regions"
+INGRESSES = 12
+TENANTS = 12
+REQUESTS = 10.0
+SETTLE_S = 15.0
+QUICK_SETTLE_S = 2.0
+PROPOSAL_TIMEOUT_S = 40.0
+QUICK_LOST_S = 2.0
 LATE_S = 15.0
 """Seconds after a cut or loss by which shares are used up."""
 ORDERS = 20
--- a/simulation/capacity/remedies.py
+++ b/simulation/capacity/remedies.py
@@ -8,8 +8,15 @@
 
 FILE: Final = Path(__file__).with_name("remedies.toml")
 
-CHANGES, SCANS, CHARGES, WAITS = "changes", "scans", "charges", "waits"
-MEMORY, LINKS, FOLLOWERS, HEARTBEATS, TOOLS = "memory", "links", "followers", "heartbeats", "tools"
+CHANGES = "changes"
+SCANS = "scans"
+CHARGES = "charges"
+WAITS = "waits"
+MEMORY = "memory"
+LINKS = "links"
+FOLLOWERS = "followers"
+HEARTBEATS = "heartbeats"
+TOOLS = "tools"
 """Causes of gaps: the tables of the file."""
 
 
--- a/simulation/capacity/restarts.py
+++ b/simulation/capacity/restarts.py
@@ -11,17 +11,22 @@
 from simulation.capacity.samples import Sample
 from simulation.model.machines import RESTART_S, START_S, Machine
 
-STUDY, LARGE_STUDY = "restarts", "restarts-large"
+STUDY = "restarts"
+LARGE_STUDY = "restarts-large"
 AXIS = "restarts at ingresses"
-SIZES, QUICK_SIZES = (30, 90, 180), (3, 4, 6)
+SIZES = (30, 90, 180)
+QUICK_SIZES = (3, 4, 6)
 LARGE = 600
 """More ingresses than all controllers together may have links to."""
 TENANTS = 300
 """Enough that the agreed value doesn't fit a datagram, as none does at the size to design for."""
 RACK = 20
-QUIET_S, WATCHED_S, MOST_S = 4.0, 6.0, 40.0
+QUIET_S = 4.0
+WATCHED_S = 6.0
+MOST_S = 40.0
 BACKENDS = 60
-RELEASE_S, DRAIN_S = 2.0, 1.0
+RELEASE_S = 2.0
+DRAIN_S = 1.0
 CALM_S = 3.0
 """Between two events; links of one don't count for the next, as if they had been idle meanwhile."""
 
@@ -102,7 +107,8 @@
 def change_route(fleet: Fleet) -> float:
     """Change one route; seconds from the order until the last ingress has it. -1 if some never has."""
     _reset(fleet)
-    began, generation = fleet.simulator.now, fleet.operator_pool.generation
+    began = fleet.simulator.now
+    generation = fleet.operator_pool.generation
     fleet.operator_pool.change("move")
 
     def everywhere() -> bool:
@@ -122,7 +128,8 @@
 def release(fleet: Fleet) -> None:
     """Replace every backend by a new one, service by service."""
     _reset(fleet)
-    deployment, began = fleet.deployment, fleet.simulator.now
+    deployment = fleet.deployment
+    began = fleet.simulator.now
     old = deployment.alive()
     for n, backend in enumerate(old):
         at = began + RELEASE_S * n / len(old)
--- a/simulation/capacity/sections.py
+++ b/simulation/capacity/sections.py
@@ -195,9 +195,11 @@
     def whole(name: str) -> float:
         return figures.at_design("whole", name, design.TENANTS)
 
-    value, change = whole("agreed value"), whole("one route as an agreed value")
+    value = whole("agreed value")
+    change = whole("one route as an agreed value")
     key = whole("one key as an agreed value")
-    apply_config, one = whole("ingress: take up a whole one"), whole("ingress: take up one route")
+    apply_config = whole("ingress: take up a whole one")
+    one = whole("ingress: take up one route")
     one_key = whole("ingress: take up one key")
     zone = design.INGRESSES / design.ZONES
     rows = [
--- a/simulation/capacity/sockets.py
+++ b/simulation/capacity/sockets.py
@@ -12,9 +12,11 @@
 
 from simulation.capacity.samples import Sample
 
-STUDY, AXIS = "sockets", "bytes of a datagram"
+STUDY = "sockets"
+AXIS = "bytes of a datagram"
 SIZES = (40, 200, 1000)
-DATAGRAMS, QUICK_DATAGRAMS = 20_000, 1_000
+DATAGRAMS = 20_000
+QUICK_DATAGRAMS = 1_000
 REPETITIONS = 5
 LOOPBACK = "127.0.0.1"
 
@@ -38,7 +40,8 @@
 
 async def _ping_pong(size: int, datagrams: int) -> float:
     loop = asyncio.get_running_loop()
-    done, left = loop.create_future(), datagrams
+    done = loop.create_future()
+    left = datagrams
     ends = [_bound(), _bound()]
     data = bytes(size)
 
--- a/simulation/capacity/studies.py
+++ b/simulation/capacity/studies.py
@@ -68,7 +68,8 @@
 
 def run(study: Study, quick: bool, folder: Path, progress: Callable[[int], None]) -> Recording:
     """Measure a study and save its recording; `progress` is told after each step how many samples it gave."""
-    began, commit = time.monotonic(), source()
+    began = time.monotonic()
+    commit = source()
     found: list[Sample] = []
     for step in study.measure(quick):
         found += step
--- a/simulation/checkers/budgets.py
+++ b/simulation/checkers/budgets.py
@@ -9,7 +9,8 @@
 
 def quota(history: RunHistory) -> list[RuleViolation]:
     """QUOTA: in no window are more requests of a tenant run than its limit allows."""
-    b, found = history.bounds, []
+    b = history.bounds
+    found = []
     runs: dict[str, list[tuple[float, float]]] = {}
     for attempt, arrivals in history.ran.items():
         sent = history.sent.get(attempt)
@@ -67,7 +68,8 @@
 
 def budget(history: RunHistory) -> list[RuleViolation]:
     """BUDGET: repeated arrivals of tries stay within the retry budget of their service."""
-    b, found = history.bounds, []
+    b = history.bounds
+    found = []
     window = b.retry_window_s
     first: set[tuple[str, str]] = set()
     repeats: dict[str, list[float]] = {}
--- a/simulation/checkers/history.py
+++ b/simulation/checkers/history.py
@@ -25,12 +25,14 @@
     """A configuration that may be in force, parsed independently of the programs' own code."""
 
     def __init__(self, order: Order) -> None:
-        self.order, self.generation = order, order.generation
+        self.order = order
+        self.generation = order.generation
         self.routes: dict[tuple[str, str], dict[str, Any]] = {}
         self.keys: dict[str, str] = {}
         self.limits: dict[str, tuple[float, float]] = {}
         for entry in order.document["resource-list"]:
-            kind, spec = entry["entry-kind"], entry["spec"]
+            kind = entry["entry-kind"]
+            spec = entry["spec"]
             if kind == "route-table":
                 self.routes[spec["hostname"], spec["path-prefix"]] = spec
             elif kind == "tenants":
@@ -79,7 +81,8 @@
     """A record, and what is derived from it."""
 
     def __init__(self, record: Record) -> None:
-        self.record, self.bounds = record, record.bounds
+        self.record = record
+        self.bounds = record.bounds
 
     @cached_property
     def sent(self) -> dict[str, Sent]:
--- a/simulation/checkers/recovery.py
+++ b/simulation/checkers/recovery.py
@@ -7,7 +7,8 @@
 
 def recover(history: RunHistory) -> list[RuleViolation]:
     """RECOVER: after the closing fault, requests are served again."""
-    record, b = history.record, history.bounds
+    record = history.record
+    b = history.bounds
     if not record.closing or not record.wanted:
         return []
     back = max(
@@ -38,9 +39,11 @@
     wait = history.bounds.order_ack_s
     for order in history.record.orders:
         if not order.valid or order.status in (200, 412):
-            wait_s, until = order.at - order.sent, order.at
+            wait_s = order.at - order.sent
+            until = order.at
         elif order.status == 0:
-            wait_s, until = history.record.until - order.sent, history.record.until
+            wait_s = history.record.until - order.sent
+            until = history.record.until
         else:
             if order.base == max(
                 (o.generation for o in history.record.orders if o.status == 200 and o.at < order.sent),
--- a/simulation/checkers/requests.py
+++ b/simulation/checkers/requests.py
@@ -28,7 +28,8 @@
     """REFUSED: a request that has run, and may not be repeated, doesn't get a status of `PROMISES`."""
     found = []
     for attempt, runs in history.ran.items():
-        answer, sent = history.record.answered.get(attempt), history.sent.get(attempt)
+        answer = history.record.answered.get(attempt)
+        sent = history.sent.get(attempt)
         if answer is not None and sent is not None and not sent.safe and answer.status in PROMISES:
             found.append(
                 RuleViolation(
--- a/simulation/commands/capacity.py
+++ b/simulation/commands/capacity.py
@@ -36,7 +36,8 @@
 
         from simulation.capacity import page, studies
 
-        quick, recorded = bool(self.option("quick")), self.option("from") or ""
+        quick = bool(self.option("quick"))
+        recorded = self.option("from") or ""
         if recorded and (quick or self.option("only")):
             raise ValueError("--from measures nothing: --quick and --only don't go with it")
         folder = Path(recorded or self.option("data") or ("found/capacity" if quick else "docs/capacity"))
--- a/simulation/commands/hunt.py
+++ b/simulation/commands/hunt.py
@@ -33,9 +33,13 @@
         """Simulate, shrink and record; 1 if a rule is violated."""
         from tqdm import tqdm
 
-        first, count = self.number("first"), self.number("seeds") or 100
-        told, broken, spent = spec.change(self.experiment(), self.values()), [], [0.0, 0.0]
-        seeds, source = range(first, first + count), hunt.source()
+        first = self.number("first")
+        count = self.number("seeds") or 100
+        told = spec.change(self.experiment(), self.values())
+        broken = []
+        spent = [0.0, 0.0]
+        seeds = range(first, first + count)
+        source = hunt.source()
         found = hunt.hunt(told, seeds, self.groups(), self.number("cores"))
         for each in tqdm(found, total=count, unit="day"):
             spent[0] += each.figures["processor_s"]
--- a/simulation/commands/reports.py
+++ b/simulation/commands/reports.py
@@ -50,7 +50,8 @@
                 lines += allowance.read(file)
         if not lines:
             raise ValueError("no lines of counts: were the programs started with --counts?")
-        day, folder = allowance.gather(lines), Path(self.option("out"))
+        day = allowance.gather(lines)
+        folder = Path(self.option("out"))
         folder.mkdir(parents=True, exist_ok=True)
         path = allowance_report.write(day, f"allowance-{Path(self.argument('logs')[0]).stem}", folder)
         self.tell(f"{allowance.render_day(day)}\n\n{path}")
--- a/simulation/comparison.py
+++ b/simulation/comparison.py
@@ -83,7 +83,8 @@
 
 def correlation(found: Sequence[BenchModelPair]) -> float:
     """Spearman's rank correlation of the bench's values and the model's means; 0 if either is constant."""
-    ours, theirs = ranks([float(np.mean(p.model)) for p in found]), ranks([p.bench for p in found])
+    ours = ranks([float(np.mean(p.model)) for p in found])
+    theirs = ranks([p.bench for p in found])
     if ours.std() == 0 or theirs.std() == 0:
         return 0.0
     return float(np.corrcoef(ours, theirs)[0, 1])
--- a/simulation/disk_loss_tolerance.py
+++ b/simulation/disk_loss_tolerance.py
@@ -14,7 +14,10 @@
 from simulation.model.simulation_run import Run
 from simulation.spec import Day, Disruption, Spec
 
-AT_S, FOR_S, BACK_S, ORDER_S = 10.0, 12.0, 1.5, 0.3
+AT_S = 10.0
+FOR_S = 12.0
+BACK_S = 1.5
+ORDER_S = 0.3
 CORES = {3: (1, 1, 1), 5: (2, 2, 1), 7: (3, 2, 2)}
 KINDS = {
     "wipe": "an empty disk comes back",
@@ -110,7 +113,8 @@
     run.simulator.at(1.0, run.operator_pool.begin)
     run.disruptions.plan([*planned_disruptions, *orders])
     run.simulator.run(AT_S)
-    watch, queue = DiskLossMonitor(run.deployment), run.simulator.queue
+    watch = DiskLossMonitor(run.deployment)
+    queue = run.simulator.queue
     while queue[0][0] <= AT_S + FOR_S:
         run.simulator.run(queue[0][0])
         watch.look()
--- a/simulation/hunt.py
+++ b/simulation/hunt.py
@@ -88,7 +88,8 @@
     """Shrink a day to a shorter one that violates the same rule: disruptions are removed, made shorter and
     moved to round times. At most `most` days are simulated; `tell` is called with each improvement."""
     rule = rule or found.broken[0].rule
-    best, left = found, [most]
+    best = found
+    left = [most]
 
     def still(spec: Spec) -> bool:
         nonlocal best
--- a/simulation/loopback/driver.py
+++ b/simulation/loopback/driver.py
@@ -24,7 +24,8 @@
 from simulation.model.simulation_run import play
 from simulation.spec import Disruption, Kind, Spec
 
-PROMISES, FINAL = (429, 503, 408, 421), (400, 401, 404, 413, 431)
+PROMISES = (429, 503, 408, 421)
+FINAL = (400, 401, 404, 413, 431)
 START_S = 30.0  # for the first configuration to be taken, and for ingresses to be ready
 KINDS = (
     "node_kill",
@@ -67,7 +68,8 @@
     """What the model's operators need to know of a deployment, over loopback."""
 
     def __init__(self, spec: Spec, seed: int) -> None:
-        self.spec, self.works = spec, dict[str, float]()
+        self.spec = spec
+        self.works = dict[str, float]()
         self.simulator: Any = type("Chance", (), {"chance": staticmethod(lambda: random.Random(seed))})
 
 
@@ -75,10 +77,13 @@
     """One day over loopback."""
 
     def __init__(self, spec: Spec, seed: int, cluster: LocalCluster) -> None:
-        self.spec, self.cluster = spec, cluster
-        self.rng, self.numbers = random.Random(seed), np.random.default_rng(seed)
+        self.spec = spec
+        self.cluster = cluster
+        self.rng = random.Random(seed)
+        self.numbers = np.random.default_rng(seed)
         self.record = Record()
-        self.record.bounds, self.record.until = spec.bounds, spec.day.seconds
+        self.record.bounds = spec.bounds
+        self.record.until = spec.day.seconds
         self.began = 0.0
         self.ready: set[str] = set()
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -109,7 +114,8 @@
         self.began = time.monotonic()
         document = first_document(self.operator_pool.deployment)
         await asyncio.wait_for(self.order(document), START_S)
-        self.operator_pool.generation, self.operator_pool.newest = 1, document
+        self.operator_pool.generation = 1
+        self.operator_pool.newest = document
         self.do(self.look())
         ends = time.monotonic() + START_S
         while len(self.ready) < len(self.cluster.machines) and time.monotonic() < ends:
@@ -183,13 +189,18 @@
     async def request(self, kind: Kind, tenant: int, zone: str) -> None:
         """One request with its tries."""
         self.count += 1
-        number, began, path = self.count, self.now(), f"/{kind.name}/{self.count:x}"
-        client, tried, left = self.rng.randrange(self.spec.day.clients), set[str](), kind.repeats
+        number = self.count
+        began = self.now()
+        path = f"/{kind.name}/{self.count:x}"
+        client = self.rng.randrange(self.spec.day.clients)
+        tried = set[str]()
+        left = kind.repeats
         self.record.wanted.append((began, kind.name, kind.worth, f"tenant-{tenant}"))
         while True:
             machine = self.ingress(zone, client, tried)
             tried.add(machine.name)
-            attempt, ends = f"{self.rng.getrandbits(64):016x}", began + kind.deadline_s
+            attempt = f"{self.rng.getrandbits(64):016x}"
+            ends = began + kind.deadline_s
             key = f"key-{tenant}-{'ab'[number % 2]}"
             self.record.sent.append(
                 Sent(
--- a/simulation/loopback/local_cluster.py
+++ b/simulation/loopback/local_cluster.py
@@ -22,7 +22,10 @@
     """A machine: its address and the programs on it."""
 
     def __init__(self, cluster: LocalCluster, name: str, ip: str, zone: str, core: bool) -> None:
-        self.cluster, self.name, self.ip, self.zone = cluster, name, ip, zone
+        self.cluster = cluster
+        self.name = name
+        self.ip = ip
+        self.zone = zone
         self.roles = ("controller", "proxy") if core else ("proxy",)
         self.programs: dict[str, Popen] = {}
         self.fresh = True
@@ -55,13 +58,17 @@
     `recordings` a folder for recordings of the programs, or None."""
 
     def __init__(self, spec: Spec, folder: Path, port: int, recordings: Path | None = None) -> None:
-        self.spec, self.folder, self.port, self.recordings = spec, folder, port, recordings
+        self.spec = spec
+        self.folder = folder
+        self.port = port
+        self.recordings = recordings
         self.machines: list[LocalMachine] = []
         self.backends: list[tuple[str, Service, Popen]] = []
         self.launched = 0
         for number, zone in enumerate(spec.zones, 1):
             for place in range(spec.proxies[number - 1]):
-                core, ip = place < spec.controllers[number - 1], f"127.{number}.0.{place + 3}"
+                core = place < spec.controllers[number - 1]
+                ip = f"127.{number}.0.{place + 3}"
                 self.machines.append(LocalMachine(self, f"{zone}-{place + 1}", ip, zone, core))
         self.core = sorted((h for h in self.machines if len(h.roles) == 2), key=lambda h: h.name[::-1])
 
@@ -112,7 +119,8 @@
 
     def launch(self, service: Service, work_s: float) -> None:
         """Start a backend."""
-        n, self.launched = self.launched, self.launched + 1
+        n = self.launched
+        self.launched = self.launched + 1
         zone = self.spec.zones[n % len(self.spec.zones)]
         options = [
             "--id",
--- a/simulation/measurements.py
+++ b/simulation/measurements.py
@@ -49,13 +49,15 @@
         for e in o.document["resource-list"]
         if e["entry-kind"] == "tenants"
     }
-    asked, earned = dict[tuple[str, int], list[float]](), dict[tuple[str, int], list[tuple[float, float]]]()
+    asked = dict[tuple[str, int], list[float]]()
+    earned = dict[tuple[str, int], list[tuple[float, float]]]()
     for at, _, worth, tenant in record.wanted:
         if at >= record.until - LAST_S:
             continue
         asked.setdefault((tenant, int(at)), []).append(worth)
     for tries in tries_of(record):
-        first, last = tries[0], tries[-1]
+        first = tries[0]
+        last = tries[-1]
         if (answer := record.answered.get(last.attempt)) and 200 <= answer.status < 300 and not answer.fault:
             kind = kinds[first.route]
             key = first.tenant, int(first.at)
@@ -80,7 +82,8 @@
 def earns(kind: Kind, tries: list[Sent], record: Record) -> float:
     """The worth that a served request earns: less if it was late, and the mean of both if it was refused
     early and its last try was in time."""
-    begun, ended = record.answered[tries[0].attempt], record.answered[tries[-1].attempt].at
+    begun = record.answered[tries[0].attempt]
+    ended = record.answered[tries[-1].attempt].at
     if ended <= tries[0].at + kind.aim_s:
         return kind.worth
     soon = begun.status in (429, 503) and begun.at <= tries[0].at + kind.aim_s / 4
@@ -117,10 +120,12 @@
 
 def felt(by: SecondCounts, begins: float, ends: float) -> tuple[int, float]:
     """The number of seconds in a span with less served than usual, and the fraction lost in the worst one."""
-    wanted, served = by.wanted, by.served
+    wanted = by.wanted
+    served = by.served
     total = wanted.sum()
     usual = served.sum() / total if total else 1.0
-    lost, worst = 0, 0.0
+    lost = 0
+    worst = 0.0
     for second in range(int(begins), min(int(ends) + 1, len(wanted))):
         if wanted[second] >= 4:
             part = served[second] / wanted[second]
@@ -147,11 +152,13 @@
 
 def measure(record: Record, spec: Spec) -> dict[str, float]:
     """All metrics of a run by name, for tables and plots."""
-    by, times = seconds(record, spec), histogram(record)
+    by = seconds(record, spec)
+    times = histogram(record)
     worth = owed(record, spec)
     asked, earned, at_all = worth.sum(axis=1)
     refused, failed = unserved(record)
-    wanted, served = int(by.wanted.sum()), int(by.served.sum())
+    wanted = int(by.wanted.sum())
+    served = int(by.served.sum())
     parts = [by.served[s] / by.wanted[s] for s in range(len(by.wanted)) if by.wanted[s] >= 4]
     statuses = [a.status for a in record.answered.values()]
     tries = max(1, len(statuses))
--- a/simulation/model/backends.py
+++ b/simulation/model/backends.py
@@ -30,8 +30,13 @@
     def __init__(
         self, attempt: str, path: str, fields: dict[bytes, bytes], deadline: float, done: Done
     ) -> None:
-        self.attempt, self.path, self.fields, self.deadline, self.done = attempt, path, fields, deadline, done
-        self.running = self.over = False
+        self.attempt = attempt
+        self.path = path
+        self.fields = fields
+        self.deadline = deadline
+        self.done = done
+        self.running = False
+        self.over = False
 
 
 class BackendEnvironment(Protocol):
@@ -85,16 +90,24 @@
         place: Location,
         pace: float,
     ) -> None:
-        self.deployment, self.service, self.id = deployment, service, name
-        self.address, self.place = address, place
-        self.simulator, self.rng = deployment.simulator, deployment.simulator.chance()
+        self.deployment = deployment
+        self.service = service
+        self.id = name
+        self.address = address
+        self.place = place
+        self.simulator = deployment.simulator
+        self.rng = deployment.simulator.chance()
         self.pace = pace  # times the usual time that it takes
         self.began = self.simulator.now
         self.cold_until = 0.0
-        self.running, self.queue = 0, deque[BackendRequest]()
+        self.running = 0
+        self.queue = deque[BackendRequest]()
         self.connections = 0
         self.ends: dict[TcpEndpoint, None] = {}  # in the order of their opening
-        self.draining = self.ended = self.silenced = False  # mute: tells nothing any more
+        # mute: tells nothing any more
+        self.draining = False
+        self.ended = False
+        self.silenced = False
         self.calls = 0
         self.target: str | None = None  # named by an acknowledgement, until a call there fails
         self.served = 0
@@ -318,7 +331,8 @@
     """One connection at a backend: a request at a time."""
 
     def __init__(self, backend: Backend, end: TcpEndpoint) -> None:
-        self.backend, self.end = backend, end
+        self.backend = backend
+        self.end = end
         self.buffer = b""
         self.work: BackendRequest | None = None
         self.busy = False
@@ -358,7 +372,8 @@
 
     def rest(self) -> None:
         """Close the connection if it has carried nothing for long."""
-        idle_s, now = self.backend.service.idle_s, self.backend.simulator.now
+        idle_s = self.backend.service.idle_s
+        now = self.backend.simulator.now
         if self.end.closed or self.end.lost:
             return
         if self.busy or now - self.used < idle_s:
@@ -369,7 +384,8 @@
     def answer(self, answer: Response | None) -> None:
         """Send an answer, or whatever it becomes."""
         backend = self.backend
-        self.busy, self.used = False, backend.simulator.now
+        self.busy = False
+        self.used = backend.simulator.now
         if answer is None or backend.ended:
             self.end.abort()
             return
--- a/simulation/model/client_attempts.py
+++ b/simulation/model/client_attempts.py
@@ -80,7 +80,9 @@
     """A client's connection to an ingress: one try at a time."""
 
     def __init__(self, owner: AttemptOwner, machine: Machine, slot: tuple[str, int]) -> None:
-        self.owner, self.machine, self.slot = owner, machine, slot
+        self.owner = owner
+        self.machine = machine
+        self.slot = slot
         self.end: TcpEndpoint | None = None
         self.reader = ResponseReader(flows=True)
         self.current: ClientAttempt | None = None
@@ -141,8 +143,12 @@
     """One try of a request at one ingress, over a kept connection or a new one."""
 
     def __init__(self, owner: AttemptOwner, request: Request, attempt: str, machine: Machine) -> None:
-        self.owner, self.request, self.attempt, self.machine = owner, request, attempt, machine
-        self.simulator, self.network = owner.simulator, owner.network
+        self.owner = owner
+        self.request = request
+        self.attempt = attempt
+        self.machine = machine
+        self.simulator = owner.simulator
+        self.network = owner.network
         self.place = owner.places[request.zone]
         self.ended = False
         self.read_before = 0
@@ -185,7 +191,9 @@
         if self.ended:
             end.abort()
             return
-        self.connection.end, end.receiver, self.connection.open = end, self.connection, True
+        self.connection.end = end
+        end.receiver = self.connection
+        self.connection.open = True
         self.write()
 
     def no_connection(self) -> None:
@@ -193,7 +201,8 @@
             self.end(0, 0.0, "no connection", False)
 
     def write(self) -> None:
-        r, connection = self.request, self.connection
+        r = self.request
+        connection = self.connection
         assert connection.end is not None
         connection.current = self
         self.read_before = connection.end.peer.taken_bytes
--- a/simulation/model/client_load.py
+++ b/simulation/model/client_load.py
@@ -24,8 +24,10 @@
     """All clients: requests of each kind come at random, by tenant, zone and client."""
 
     def __init__(self, deployment: Deployment, operator_pool: OperatorPool) -> None:
-        self.deployment, self.operator_pool = deployment, operator_pool
-        self.simulator, self.record = deployment.simulator, deployment.record
+        self.deployment = deployment
+        self.operator_pool = operator_pool
+        self.simulator = deployment.simulator
+        self.record = deployment.record
         self.rng = self.simulator.chance()
         self.numbers = self.simulator.numbers()
         self.network = deployment.network
@@ -80,7 +82,8 @@
         if self.simulator.now >= self.until:
             return
         self.count += 1
-        name, keys = f"tenant-{tenant}", self.keys(f"tenant-{tenant}")
+        name = f"tenant-{tenant}"
+        keys = self.keys(f"tenant-{tenant}")
         path = f"/{kind.name}/{self.count:x}"
         if not keys:
             return
@@ -97,9 +100,11 @@
         """A change is acknowledged: ask each ingress, a few times, for what it has changed."""
         if not former:
             return
-        old, new = routes_of(former), routes_of(document)
+        old = routes_of(former)
+        new = routes_of(document)
         labels = [label for label in {**old, **new} if old.get(label) != new.get(label)]
-        before, after = keys_of(former), keys_of(document)
+        before = keys_of(former)
+        after = keys_of(document)
         keys = [key for key in {**before, **after} if before.get(key) != after.get(key)]
         kind = self.spec.kinds[0]
         usual = next(iter(after))
@@ -127,7 +132,8 @@
                     self.count,
                     self.simulator.now,
                 )
-                request.probe, request.left = True, 0
+                request.probe = True
+                request.left = 0
                 self.send(request, machine)
 
     def keys(self, tenant: str) -> list[str]:
--- a/simulation/model/client_requests.py
+++ b/simulation/model/client_requests.py
@@ -38,9 +38,17 @@
         hashed: int,
         now: float,
     ) -> None:
-        self.number, self.kind, self.label, self.path = number, kind, label, path
-        self.tenant, self.key, self.zone, self.hashed = tenant, key, zone, hashed
-        self.host, self.probe = HOST, False
-        self.began, self.ends = now, now + kind.deadline_s
+        self.number = number
+        self.kind = kind
+        self.label = label
+        self.path = path
+        self.tenant = tenant
+        self.key = key
+        self.zone = zone
+        self.hashed = hashed
+        self.host = HOST
+        self.probe = False
+        self.began = now
+        self.ends = now + kind.deadline_s
         self.left = kind.repeats
         self.ways: set[str] = set()
--- a/simulation/model/deployment.py
+++ b/simulation/model/deployment.py
@@ -19,7 +19,10 @@
 from simulation.model.simulator import Simulator
 from simulation.recording import Recording
 
-FRONT, READY, FIRST, LAST = 8405, 8406, 7660, 7675
+FRONT = 8405
+READY = 8406
+FIRST = 7660
+LAST = 7675
 MISSES = 2  # of the platform's calls, after which an ingress gets no new connections
 
 Answer = Callable[[int, str, bytes], Any]
@@ -29,7 +32,9 @@
     """All machines, backends and links of a run."""
 
     def __init__(self, simulator: Simulator, spec: specs.Spec, record: Record) -> None:
-        self.simulator, self.spec, self.record = simulator, spec, record
+        self.simulator = simulator
+        self.spec = spec
+        self.record = record
         w = spec.links
         self.network = Network(
             simulator, LinkProfile(w.within, w.between, w.client, 0.1, w.loss, w.twice, w.mbps * 125_000)
@@ -217,7 +222,8 @@
     ) -> None:
         """Call `control` at an address: `done(status, machine, body)`, with status 0 for silence or a broken
         call. A 307 is followed twice."""
-        simulator, network = self.simulator, self.network
+        simulator = self.simulator
+        network = self.network
         machine = self.by_ip.get((address or "").partition(":")[0])
         state = [False]
 
--- a/simulation/model/disk.py
+++ b/simulation/model/disk.py
@@ -19,10 +19,13 @@
 
     def __init__(self, sync_s: float) -> None:
         self.usual = self.sync_s = sync_s
-        self.fails = self.hung = False
+        self.fails = False
+        self.hung = False
         self.stored: PersistentState | None = None  # as a start finds it
         self.synced: PersistentState | None = None
-        self.saves = self.bytes = self.wiped = 0
+        self.saves = 0
+        self.bytes = 0
+        self.wiped = 0
         self.stuck: list[Callable[[], None]] = []
         self.lying = False  # planted fault: says so before it is saved
 
@@ -77,8 +80,10 @@
 
     def wipe(self) -> None:
         """The disk is lost: an empty one takes its place."""
-        self.stored = self.synced = None
+        self.stored = None
+        self.synced = None
         self.wiped += 1
-        self.fails = self.hung = False
+        self.fails = False
+        self.hung = False
         self.sync_s = self.usual
         self.stuck = []
--- a/simulation/model/disruptions/schedule.py
+++ b/simulation/model/disruptions/schedule.py
@@ -18,8 +18,11 @@
     """Carries out a schedule. Each trouble chooses its victims by its number among those that fit."""
 
     def __init__(self, deployment: Deployment, operator_pool: OperatorPool, load: ClientLoad) -> None:
-        self.deployment, self.operator_pool, self.load = deployment, operator_pool, load
-        self.simulator, self.record = deployment.simulator, deployment.record
+        self.deployment = deployment
+        self.operator_pool = operator_pool
+        self.load = load
+        self.simulator = deployment.simulator
+        self.record = deployment.record
         self.rng = self.simulator.chance()
         self.after_next_ack: list[
             tuple[Disruption, Callable[[Machine], None]]
--- a/simulation/model/injected_bugs.py
+++ b/simulation/model/injected_bugs.py
@@ -121,7 +121,8 @@
 def _no_target(process: ProxyProcess) -> None:
     """Doesn't say for whom a request is, and holds on to backends that are gone."""
     proxy_node: Any = process.proxy_node
-    message, backend = proxy_node.ingress.message, proxy_node.ingress.backend
+    message = proxy_node.ingress.message
+    backend = proxy_node.ingress.backend
     proxy_node.ingress.message = lambda *args: message(*args).replace(b"Target-Instance:", b"X-Target:")
 
     def keep(name: str, service: str, address: Any, phase: io.Phase, *rest: Any) -> None:
@@ -134,7 +135,8 @@
 def _denies(process: ProxyProcess) -> None:
     """Denies a tenth of what it is sent."""
     ingress: Any = process.proxy_node.ingress
-    read, rng = ingress.read, random.Random(1)
+    read = ingress.read
+    rng = random.Random(1)
 
     def deny(*args: Any) -> Any:
         return ImmediateResponse(403, "no") if rng.random() < 0.1 else read(*args)
@@ -157,7 +159,8 @@
 
 def _lying_disk(process: ControllerProcess) -> None:
     """Its disk says that it has saved what it has not."""
-    process.machine.disk.lying, process.machine.disk.sync_s = True, 0.1
+    process.machine.disk.lying = True
+    process.machine.disk.sync_s = 0.1
 
 
 def _hasty(process: ControllerProcess) -> None:
@@ -207,7 +210,8 @@
 def _faulty(process: ProxyProcess) -> None:
     """Raises now and then."""
     proxy_node: Any = process.proxy_node
-    handle_membership, rng = proxy_node.handle_membership, random.Random(1)
+    handle_membership = proxy_node.handle_membership
+    rng = random.Random(1)
 
     def raising(event: Any) -> None:
         if rng.random() < 0.02:
--- a/simulation/model/machines.py
+++ b/simulation/model/machines.py
@@ -57,7 +57,11 @@
         roles: tuple[str, ...],
         fresh: bool,
     ) -> None:
-        self.deployment, self.name, self.ip, self.roles, self.fresh = deployment, name, ip, roles, fresh
+        self.deployment = deployment
+        self.name = name
+        self.ip = ip
+        self.roles = roles
+        self.fresh = fresh
         self.simulator: Simulator = deployment.simulator
         self.network: Network = deployment.network
         self.place: Location = Location(name, zone)
@@ -65,7 +69,8 @@
         self.speed: float = 1.0
         self.disk: Disk = Disk(deployment.spec.disk_s)
         self.processes: dict[str, Program] = {}
-        self.power, self.removed = True, False
+        self.power = True
+        self.removed = False
         self.starts = 0
 
     @property
--- a/simulation/model/network.py
+++ b/simulation/model/network.py
@@ -38,7 +38,8 @@
     """All links. A cut goes one way: from a name or zone to a name or zone ("*": any)."""
 
     def __init__(self, simulator: Simulator, ways: LinkProfile) -> None:
-        self.simulator, self.ways = simulator, ways
+        self.simulator = simulator
+        self.ways = ways
         self.rng = simulator.chance()
         self.cuts: dict[tuple[str, str], int] = {}
         self.loss: dict[str, float] = {}  # of single machines, on top
--- a/simulation/model/operators.py
+++ b/simulation/model/operators.py
@@ -101,14 +101,19 @@
     """One operator. What is known to be in force is shared by all of them in the `OperatorPool`."""
 
     def __init__(self, deployment: Deployment, operator_pool: OperatorPool, name: str, zone: str) -> None:
-        self.deployment, self.operator_pool, self.name = deployment, operator_pool, name
-        self.simulator, self.rng = deployment.simulator, deployment.simulator.chance()
+        self.deployment = deployment
+        self.operator_pool = operator_pool
+        self.name = name
+        self.simulator = deployment.simulator
+        self.rng = deployment.simulator.chance()
         self.place = Location(f"operator {name}", f"operator {zone}")
 
     def put(self, document: Document, valid: bool = True, patch: Document | None = None) -> None:
         """Send a change until there is a clear answer."""
-        record, number = self.deployment.record, len(self.deployment.record.orders)
-        method, body = "PATCH" if patch else "PUT", json.dumps(patch or document).encode()
+        record = self.deployment.record
+        number = len(self.deployment.record.orders)
+        method = "PATCH" if patch else "PUT"
+        body = json.dumps(patch or document).encode()
         record.orders.append(
             Order(
                 self.simulator.now,
@@ -138,7 +143,8 @@
 
     def repeat(self, generation: int, method: str, body: bytes) -> None:
         """Send a change again that was acknowledged."""
-        record, number = self.deployment.record, len(self.deployment.record.repeats)
+        record = self.deployment.record
+        number = len(self.deployment.record.repeats)
         record.repeats.append(Repeat(0.0, generation, 0, ""))
 
         def clear(status: int, by: str) -> None:
@@ -151,7 +157,8 @@
     ) -> None:
         """Call one process after the other until there is a clear answer; `unheard`: an acknowledgement that
         was lost on its way."""
-        wait, tries = 0.1, 0
+        wait = 0.1
+        tries = 0
 
         def call() -> None:
             address = self.deployment.some_control(self.place, self.rng)
@@ -178,7 +185,8 @@
 
         def on_response(status: int, by: str, answer: bytes) -> None:
             record = self.deployment.record
-            generation, same = 0, False
+            generation = 0
+            same = False
             if status == 200:
                 found = json.loads(answer)
                 generation = found["generation"]
@@ -245,7 +253,8 @@
         """A change is acknowledged."""
         self.acknowledged.append((document["generation"], method, body))
         if document["generation"] > self.newest.get("generation", 0):
-            former, self.newest = self.newest, document
+            former = self.newest
+            self.newest = document
             for listener in self.followers:
                 listener(former, document)
 
@@ -254,7 +263,8 @@
         document = copy.deepcopy(base)
         if another or self.generation <= base["generation"]:
             self.generation += self.rng.randrange(1, 4)
-        document["generation"], document["base-version"] = self.generation, base["generation"]
+        document["generation"] = self.generation
+        document["base-version"] = base["generation"]
         return document
 
     def change(self, how: str, who: int = 0, another: bool = True) -> None:
--- a/simulation/model/processes.py
+++ b/simulation/model/processes.py
@@ -26,7 +26,8 @@
 from simulation.planes import PLANE_NAMES
 from simulation.recording import Recording, RecordingHeader
 
-CONTROLLER_TICK_S, PROXY_TICK_S = 0.025, 0.05
+CONTROLLER_TICK_S = 0.025
+PROXY_TICK_S = 0.05
 TICK = membership.Tick()
 
 
@@ -97,7 +98,8 @@
             rng.uniform(-2e-5, 2e-5),
         )
         self.machine: ProcessHost = machine
-        self.settings, self.rng = settings, rng
+        self.settings = settings
+        self.rng = rng
         self.place: Location = machine.place
         self.me: Address = settings.own_address(self.kind)
         self.speed = machine.speed
--- a/simulation/model/proxy_sockets.py
+++ b/simulation/model/proxy_sockets.py
@@ -50,10 +50,13 @@
         self, process: Process, place: Location, environment: ConnectionEnvironment, *args: Any
     ) -> None:
         super().__init__(process.loop, *args)
-        self.process, self.place, self.environment = process, place, environment
+        self.process = process
+        self.place = place
+        self.environment = environment
 
     async def connect(self, pool: Pool) -> real.Connection:
-        process, environment = self.process, self.environment
+        process = self.process
+        environment = self.environment
         ip, port = pool.endpoint.address
         backend = environment.listeners.get(f"{ip}:{port}")
         future = process.create_future()
--- a/simulation/model/simulation_run.py
+++ b/simulation/model/simulation_run.py
@@ -24,7 +24,8 @@
 
     def __init__(self, simulator: Simulator, record: Record) -> None:
         super().__init__(logging.ERROR)
-        self.simulator, self.record = simulator, record
+        self.simulator = simulator
+        self.record = record
 
     def emit(self, entry: logging.LogRecord) -> None:
         if len(self.record.faults) < MOST_FAULTS and entry.name.partition(".")[0] in ("gateway", "ingress"):
@@ -41,7 +42,8 @@
         self.spec = spec
         self.simulator = Simulator(seed)
         self.record = Record()
-        self.record.bounds, self.record.until = spec.bounds, spec.day.seconds
+        self.record.bounds = spec.bounds
+        self.record.until = spec.day.seconds
         self.deployment = Deployment(self.simulator, spec, self.record)
         self.operator_pool = OperatorPool(self.deployment)
         self.load = ClientLoad(self.deployment, self.operator_pool)
@@ -50,8 +52,11 @@
 
     def play(self) -> Record:
         """Play the day to its end."""
-        spec, day, simulator = self.spec, self.spec.day, self.simulator
-        began, used = perf_counter(), process_time()
+        spec = self.spec
+        day = self.spec.day
+        simulator = self.simulator
+        began = perf_counter()
+        used = process_time()
         deployment = self.deployment
         deployment.start()
         for service in spec.services:
@@ -107,7 +112,8 @@
 
     def finish(self, seconds: float, processor: float) -> None:
         """Put figures together."""
-        record, deployment = self.record, self.deployment
+        record = self.record
+        deployment = self.deployment
         processes = [p for m in deployment.machines.values() for p in m.processes.values()]
         record.faults += [f"{p.name}: {fault}" for p in processes for fault in p.faults]
         nodes = sum(len(m.roles) for m in deployment.machines.values())
--- a/simulation/model/simulator.py
+++ b/simulation/model/simulator.py
@@ -72,7 +72,9 @@
     __slots__ = ("args", "call", "due")
 
     def __init__(self, due: float, call: Call | None, args: tuple[Any, ...]) -> None:
-        self.due, self.call, self.args = due, call, args
+        self.due = due
+        self.call = call
+        self.args = args
 
     def when(self) -> float:
         """The loop's time at which it is due."""
@@ -80,7 +82,8 @@
 
     def cancel(self) -> None:
         """It won't be made."""
-        self.call, self.args = None, ()
+        self.call = None
+        self.args = ()
 
     def cancelled(self) -> bool:
         """Whether it was cancelled, or made."""
@@ -95,13 +98,19 @@
     """
 
     def __init__(self, simulator: Simulator, name: str, cost: float, begin: float, drift: float) -> None:
-        self.simulator, self.name = simulator, name
+        self.simulator = simulator
+        self.name = name
         self.loop = cast(asyncio.AbstractEventLoop, self)  # as far as the programs use one
-        self.cost, self.speed = cost, 1.0
-        self.offset, self.rate = begin, 1.0 + drift
-        self.frozen = self.ended = False
+        self.cost = cost
+        self.speed = 1.0
+        self.offset = begin
+        self.rate = 1.0 + drift
+        self.frozen = False
+        self.ended = False
         self.end_at = 0.0
-        self.busy, self.used = 0.0, 0.0  # until when; processor time in all
+        # until when; processor time in all
+        self.busy = 0.0
+        self.used = 0.0
         self.backlog = deque[tuple[Call, tuple[Any, ...]]](maxlen=MOST_WAITING)
         self.woken = False
         self.ends: dict[Any, None] = {}  # of connections that are open here, in the order of their opening
@@ -152,7 +161,8 @@
         ends, self.ends = self.ends, {}
         for end in ends:
             end.die(power)
-        self.ended, self.end_at = True, self.simulator.now
+        self.ended = True
+        self.end_at = self.simulator.now
         self.backlog.clear()
 
     # What the program uses of its loop.
@@ -173,7 +183,8 @@
         return self.call_at(self.time(), callback, *args)
 
     def fire(self, handle: Handle) -> None:
-        call, args = handle.call, handle.args
+        call = handle.call
+        args = handle.args
         if call is None:
             return
         handle.call = None
--- a/simulation/model/tcp.py
+++ b/simulation/model/tcp.py
@@ -22,7 +22,9 @@
     def connection_lost(self, exc: Exception | None) -> None: ...
 
 
-DATA, EOF, RESET = 0, 1, 2
+DATA = 0
+EOF = 1
+RESET = 2
 
 
 class TcpEndpoint:
@@ -56,18 +58,25 @@
     def __init__(
         self, network: Network, place: Location, process: Process | None, client: bool, patience: float | None
     ) -> None:
-        self.network, self.place, self.process, self.client = network, place, process, client
+        self.network = network
+        self.place = place
+        self.process = process
+        self.client = client
         self.patience = patience
         self.peer: TcpEndpoint
         self.receiver: StreamProtocol | None = None
         self.waiting = deque[tuple[int, bytes]]()  # that a cut holds up
         self.held = deque[tuple[int, bytes]]()  # that has come while reading is paused
         self.stuck_at: float | None = None
-        self.free_at, self.pending, self.taken_bytes = 0.0, 0, 0
+        self.free_at = 0.0
+        self.pending = 0
+        self.taken_bytes = 0
         self.closed = False  # by this side
         self.over = False  # the other side has ended its sending, or all
         self.lost = False  # its taker was told
-        self.paused = self.silent = False  # silent: its machine is without power
+        # silent: its machine is without power
+        self.paused = False
+        self.silent = False
 
     # As a transport.
 
@@ -137,7 +146,8 @@
             self.pump()
 
     def pump(self) -> None:
-        network, simulator = self.network, self.network.simulator
+        network = self.network
+        simulator = self.network.simulator
         while self.waiting:
             if self.silent or self.peer.silent or not network.reaches(self.place, self.peer.place):
                 if self.stuck_at is None:
@@ -162,7 +172,8 @@
             return
         if self.patience is not None and now - self.stuck_at > self.patience:
             self.waiting.clear()
-            self.stuck_at, self.closed = None, True
+            self.stuck_at = None
+            self.closed = True
             self.tell(TimeoutError("nothing is acknowledged"))
         elif now - self.stuck_at < 60.0:
             self.pump()
@@ -249,7 +260,8 @@
     simulator = network.simulator
     mine = TcpEndpoint(network, place, process, client, patience)
     theirs = TcpEndpoint(network, target, None, False, None)
-    mine.peer, theirs.peer = theirs, mine
+    mine.peer = theirs
+    theirs.peer = mine
 
     def arrived() -> None:
         if not network.reaches(target, place):
--- a/simulation/orders.py
+++ b/simulation/orders.py
@@ -76,9 +76,11 @@
 
 def _spread(order: Order, forces: list[LogLine]) -> None:
     """Set when each node put the order, or a later one, in force."""
-    known, reported = set[str](), set[str]()
+    known = set[str]()
+    reported = set[str]()
     for line in forces:
-        node, version = line.entry["node"], line.entry["version"]
+        node = line.entry["node"]
+        version = line.entry["version"]
         if version < order.version:
             known.add(node)
         elif node not in reported and line.at >= order.came - SKEW_S:
@@ -109,7 +111,8 @@
         )
     acks = [o.ack_s for o in found if o.ack_s is not None]
     spreads = [list(o.nodes.values()) for o in found if o.nodes]
-    mids, lasts = [median(s) for s in spreads], [max(s) for s in spreads]
+    mids = [median(s) for s in spreads]
+    lasts = [max(s) for s in spreads]
     for name, whole in (("median", median), ("worst", max)):
         rows.append((name, "", _cell(acks, whole), "", _cell(mids, whole), _cell(lasts, whole), "", ""))
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
--- a/simulation/planner.py
+++ b/simulation/planner.py
@@ -64,7 +64,8 @@
 
 def roll_out(spec: Spec, apart: str) -> Plan:
     """Plan: a new version is rolled out machine by machine, `apart` seconds from one to the next."""
-    gap, at = float(apart or 7.0), spec.day.warm + 5.0
+    gap = float(apart or 7.0)
+    at = spec.day.warm + 5.0
     needed = at + gap * sum(spec.proxies) + spec.bounds.grace_s + 10.0
     before = replace(spec, day=replace(spec.day, seconds=max(spec.day.seconds, needed)))
     return Plan(
--- a/simulation/random_days.py
+++ b/simulation/random_days.py
@@ -63,7 +63,8 @@
     """A day with random disruptions, which may overlap, except those of the core, which come one by one."""
     spec = varied(spec, seed)
     rng = random.Random(f"day {seed}")
-    begins, ends = spec.day.warm + 2.0, spec.day.seconds - 8.0
+    begins = spec.day.warm + 2.0
+    ends = spec.day.seconds - 8.0
     closing = 0.0
     if rng.random() < 0.3:
         closing = spec.day.seconds - spec.bounds.recovery_s - 12.0
--- a/simulation/recording.py
+++ b/simulation/recording.py
@@ -46,7 +46,8 @@
     """Records a process. `attach` must be called once its machines exist, before their first input."""
 
     def __init__(self, head: RecordingHeader, most: int = MOST) -> None:
-        self.head, self.steps = head, deque[RecordedInput](maxlen=most)
+        self.head = head
+        self.steps = deque[RecordedInput](maxlen=most)
         self.count = 0
 
     def attach(self, node: ControllerNode | ProxyNode) -> None:
--- a/simulation/standard_days.py
+++ b/simulation/standard_days.py
@@ -81,13 +81,17 @@
     seconds = 48.0 if kind == "quiet" else 68.0
     disruptions = []
     for disruption in DAYS[site][name]:
-        at, which = rng.uniform(14.0, seconds - 16.0), rng.randrange(1000)
+        at = rng.uniform(14.0, seconds - 16.0)
+        which = rng.randrange(1000)
         if disruption in ("revoke", "config_change"):  # no limit is cut, no route moved to where it overloads
-            disruption, which = "config_change", 3 if disruption == "revoke" else rng.choice((0, 1))
+            disruption = "config_change"
+            which = 3 if disruption == "revoke" else rng.choice((0, 1))
         much = 0.4 if disruption == "herd_kill" else 1.0
         lasts = rng.uniform(2.0, 5.0)
         if disruption == "hot_tenant":  # one of the three largest, for a long time
-            at, which, lasts = rng.uniform(14.0, 22.0), which % 3, rng.uniform(*HOT_S)
+            at = rng.uniform(14.0, 22.0)
+            which = which % 3
+            lasts = rng.uniform(*HOT_S)
         disruptions.append(Disruption(disruption, at, lasts, which, much))
     closing = seconds - 26.0 if name in CLOSING else 0.0
     if closing:
--- a/simulation/transcript.py
+++ b/simulation/transcript.py
@@ -52,8 +52,12 @@
         machines: Iterable[str],
         quiet: bool,
     ) -> None:
-        self.run, self.begins, self.ends = run, begins, ends
-        self.planes, self.machines, self.quiet = set(planes), set(machines), quiet
+        self.run = run
+        self.begins = begins
+        self.ends = ends
+        self.planes = set(planes)
+        self.machines = set(machines)
+        self.quiet = quiet
         self.lines: list[tuple[float, str]] = []
         run.deployment.network.watch = self.note
 
