--- a/gateway/cli/commands.py
+++ b/gateway/cli/commands.py
@@ -270,9 +270,13 @@
         tolerance = int(self.option("tolerance"))
         self.line(f"acknowledged: on {quorum.majority(members)} of {members} disks")
         for loss in quorum.losses(members):
-            away, gone = quorum.told(loss)
-            left = quorum.more([(members, members - loss.lost)], quorum.majority(members) - loss.lost)
-            self.line(f"{loss.lost} lost: while away {away}; for good {gone}; then {left} more may go")
+            effect = quorum.describe(loss)
+            voters = quorum.VoterSet(members, members - loss.lost)
+            further = quorum.further_tolerable_losses([voters], quorum.majority(members) - loss.lost)
+            self.line(
+                f"{loss.lost} lost: while away {effect.unreachable}; for good {effect.lost_permanently}; "
+                f"then {further} more may go"
+            )
         if quorum.tolerable_losses(members) < tolerance:
             members_needed = quorum.members_needed(tolerance)
             return self.faults(
--- a/gateway/consensus/candidate.py
+++ b/gateway/consensus/candidate.py
@@ -9,8 +9,13 @@
 class CandidateRole:
     """One attempt to become leader; `won` is set once a quorum has granted its votes.
 
-    A `leadership_transfer` was requested by the leader itself: it skips the pre-vote. `retry_interval_s` is
-    the time in seconds after which unanswered requests are repeated.
+    The pre-vote (Raft dissertation, 9.6) keeps a member that doesn't hear the leader from unseating it.
+
+    Args:
+        replica: The state of the candidate's disk.
+        now: Seconds of this process's clock.
+        retry_interval_s: Seconds after which unanswered requests are repeated.
+        leadership_transfer: The leader itself has requested this election, which then skips the pre-vote.
     """
 
     def __init__(
@@ -19,44 +24,41 @@
         self.replica = replica
         self.retry_interval_s = retry_interval_s
         self.leadership_transfer = leadership_transfer
-        self.requesting_votes = False  # in a new term; before that it only asks for pre-votes
+        self.requesting_votes = False  # in a new term; before that it only requests pre-votes
         self.granted = {replica.disk}
         self.requested_at = now
         self.won = False
         if leadership_transfer:
             self._start_election()
         else:
-            self._ask()
-            self._count()
+            self._send_requests()
+            self._check_quorum()
 
     def tick(self, now: float) -> None:
         """Repeat the request to members that haven't granted it; datagrams get lost."""
         if now >= self.requested_at + self.retry_interval_s:
             self.requested_at = now
-            self._ask()
+            self._send_requests()
 
     def on_pre_vote_response(self, message: pb.Message) -> None:
         """A member has answered a pre-vote request."""
         if not self.requesting_votes and message.granted and message.term == self.replica.term + 1:
             self.granted.add(message.disk)
-            self._count()
+            self._check_quorum()
 
     def on_vote_response(self, message: pb.Message) -> None:
         """A member has answered a vote request."""
         if self.requesting_votes and message.granted and message.term == self.replica.term:
             self.granted.add(message.disk)
-            self._count()
+            self._check_quorum()
 
     def on_persisted(self) -> None:
         """A write is durable: once that holds the candidate's own vote, request the others'."""
-        if (
-            self.requesting_votes
-            and self.replica.disk not in self.granted
-            and self.replica.vote_is_persisted(self.replica.disk)
-        ):
-            self.granted.add(self.replica.disk)
-            self._ask()
-            self._count()
+        disk = self.replica.disk
+        if self.requesting_votes and disk not in self.granted and self.replica.vote_is_persisted(disk):
+            self.granted.add(disk)
+            self._send_requests()
+            self._check_quorum()
 
     def _start_election(self) -> None:
         self.replica.enter_term(self.replica.term + 1)
@@ -64,7 +66,7 @@
         self.requesting_votes = True
         self.granted = set()
 
-    def _count(self) -> None:
+    def _check_quorum(self) -> None:
         if not self.replica.entry.has_quorum(self.granted):
             return
         if self.requesting_votes:
@@ -72,16 +74,18 @@
         else:
             self._start_election()
 
-    def _ask(self) -> None:
+    def _send_requests(self) -> None:
         replica = self.replica
         if self.requesting_votes and replica.disk not in self.granted:
             return
         for member in replica.entry.voters():
             if member.disk not in self.granted:
-                message = replica.message_with_last_position(
-                    pb.REQUEST_VOTE if self.requesting_votes else pb.PRE_VOTE, member.disk
-                )
-                message.term = replica.term if self.requesting_votes else replica.term + 1
-                message.leadership_transfer = self.leadership_transfer
-                message.sent = self.requested_at
-                replica.send(member.address, message)
+                replica.send(member.address, self._request(member.disk))
+
+    def _request(self, to_disk: str) -> pb.Message:
+        kind = pb.REQUEST_VOTE if self.requesting_votes else pb.PRE_VOTE
+        message = self.replica.message_with_last_position(kind, to_disk)
+        message.term = self.replica.term if self.requesting_votes else self.replica.term + 1
+        message.leadership_transfer = self.leadership_transfer
+        message.sent_at = self.requested_at
+        return message
--- /dev/null
+++ b/gateway/consensus/election_timer.py
@@ -0,0 +1,106 @@
+"""Election timeouts adapted to measured round trips: as in `Tuning` on fast links, a multiple on slow ones.
+
+The multiple is the timeout scale. A leader requests one of its followers with each heartbeat, and counts for
+its lease only what a follower has promised in its response. So members needn't agree on it, nor on round
+trips.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+
+from gateway.consensus import consensus_pb2 as pb
+from gateway.consensus.entry import NEVER
+from gateway.consensus.replica import Replica
+
+TIMEOUT_SCALES = (1.0, 2.0, 3.0, 5.3)  # few, as each increase is written to every disk
+ROUND_TRIPS_PER_TIMEOUT = 2.5  # one each for the pre-vote, the vote and a disk, less what overlaps
+MAX_SAMPLES = 4  # the shortest of these counts: a queue or a paused process delays single responses
+SAMPLE_MAX_AGE_S = 3.0  # a member that hasn't responded for so long isn't counted
+SCALE_UP_DELAY_S = 0.2  # for which a higher scale must have been indicated
+SCALE_DOWN_DELAY_S = 1.0  # likewise for a lower one
+MAX_ROUND_TRIP_S = 10.0  # a longer round trip belongs to an earlier process
+
+
+class ElectionTimer:
+    """One member's timeout scale, and the `deadline` at which it becomes a candidate.
+
+    Times are seconds of this process's clock.
+    """
+
+    def __init__(self, replica: Replica, now: float) -> None:
+        self.replica = replica
+        self.round_trips_s: dict[str, deque[float]] = {}  # by disk, the latest samples
+        self.sampled_at: dict[str, float] = {}  # by disk
+        self.measured_scale = 1.0  # by this member's own round trips
+        self.requested_scale = 1.0  # that the latest leader has requested
+        self.indicated_scale = 1.0  # by the newest samples; it becomes the measured one if it lasts
+        self.indicated_since = now
+        self.deadline = now
+
+    @property
+    def timeout_scale(self) -> float:
+        """The factor by which election timeouts are longer than on fast links."""
+        return max(self.measured_scale, self.requested_scale)
+
+    def reset(self, now: float, leaving: bool = False) -> None:
+        """Begin a random election timeout (Raft, 5.2).
+
+        A member that is leaving waits longer, so that those that stay become candidates first.
+        """
+        shortest = self.replica.tuning.election_min_s
+        longest = self.replica.tuning.election_max_s
+        timeout = self.replica.rng.uniform(shortest, longest) + (longest if leaving else 0.0)
+        self.deadline = now + self.timeout_scale * timeout
+
+    def adopt_requested_scale(self, requested: float) -> None:
+        """Adopt the scale that a leader requests: a leader measures all the time, a follower doesn't."""
+        self.measured_scale = 1.0
+        self.indicated_scale = 1.0
+        self.requested_scale = requested
+
+    def become_leader(self) -> None:
+        """As a new leader, keep the scale that was in force until measurements say otherwise."""
+        self.measured_scale = self.timeout_scale
+        self.indicated_scale = self.measured_scale
+        self.requested_scale = 1.0
+
+    def record_round_trip(self, now: float, message: pb.Message) -> None:
+        """Take a sample from a message, if it is a response that echoes when its request was sent."""
+        is_response = message.kind in (pb.APPEND_RESPONSE, pb.PRE_VOTE_RESPONSE)
+        if is_response and message.sent_at and 0.0 <= now - message.sent_at < MAX_ROUND_TRIP_S:
+            samples = self.round_trips_s.setdefault(message.disk, deque(maxlen=MAX_SAMPLES))
+            samples.append(now - message.sent_at)
+            self.sampled_at[message.disk] = now
+
+    def update(self, now: float) -> None:
+        """Recompute the measured scale; a change takes effect once it has been indicated for long enough."""
+        indicated = self._scale_for_quorum(now)
+        if indicated == self.measured_scale or indicated is None:
+            self.indicated_scale = self.measured_scale
+        elif indicated != self.indicated_scale:
+            self.indicated_scale = indicated
+            self.indicated_since = now
+        else:
+            delay = SCALE_UP_DELAY_S if indicated > self.measured_scale else SCALE_DOWN_DELAY_S
+            if now >= self.indicated_since + delay:
+                self.measured_scale = indicated
+
+    def _scale_for_quorum(self, now: float) -> float | None:
+        """The scale for the round trip to a quorum; None if that isn't known."""
+        replica = self.replica
+        voters = {member.disk for member in replica.entry.voters()}
+        self.sampled_at = {
+            disk: at for disk, at in self.sampled_at.items() if disk in voters and now < at + SAMPLE_MAX_AGE_S
+        }
+        self.round_trips_s = {
+            disk: samples for disk, samples in self.round_trips_s.items() if disk in self.sampled_at
+        }
+        # `latest_quorum_time` wants larger times for those that come earlier, hence the signs.
+        times = {disk: -min(samples) for disk, samples in self.round_trips_s.items()}
+        round_trip = -replica.entry.latest_quorum_time({**times, replica.disk: 0.0})
+        if not voters or round_trip >= -NEVER:
+            return None
+        timeout = ROUND_TRIPS_PER_TIMEOUT * round_trip
+        shortest = replica.tuning.election_min_s
+        return next((scale for scale in TIMEOUT_SCALES if timeout <= scale * shortest), TIMEOUT_SCALES[-1])
--- a/gateway/consensus/leader.py
+++ b/gateway/consensus/leader.py
@@ -3,37 +3,52 @@
 from __future__ import annotations
 
 from gateway.consensus import consensus_pb2 as pb
-from gateway.consensus.api import Propose, Proposed
+from gateway.consensus.codec import durable_position, last_position
+from gateway.consensus.election_timer import ElectionTimer
+from gateway.consensus.entry import LogPosition, Member
+from gateway.consensus.events import Propose
 from gateway.consensus.learner import send_leader_hint, send_removed
-from gateway.consensus.reconfiguration import JoinRequests, MemberHealth, has_room, next_configuration
-from gateway.consensus.records import LogPosition, Member
+from gateway.consensus.outputs import ProposalOutcome, Proposed
+from gateway.consensus.peer import Peer
+from gateway.consensus.reconfiguration import (
+    JoinRequest,
+    JoinRequests,
+    MemberHealth,
+    has_room,
+    next_configuration,
+)
 from gateway.consensus.replica import Replica
-from gateway.consensus.replication import Peer, Replication
-from gateway.consensus.timing import Timing
+from gateway.consensus.replication import Replication
 from gateway.state_machine import Address
 
 MAX_TRANSFER_WAIT_S = 1.0  # that a leadership transfer waits for the uncommitted entry
+JOIN_REQUEST_MAX_INTERVALS = 3  # request intervals after which a join request counts no more
 
 
 class LeaderRole:
-    """The state of a leader during its term. Its first entry repeats what it held, so as to commit that in
-    its own term; at most one entry is uncommitted at a time.
+    """The state of a leader during its term.
 
-    `tolerance` is the number of members whose simultaneous loss the core must survive.
+    Its first entry repeats what it held, so as to commit that in its own term (Raft, 5.4.2 and 8); at most
+    one entry is uncommitted at a time.
+
+    Args:
+        replica: The state of the leader's disk.
+        now: Seconds of this process's clock.
+        tolerance: The number of members whose simultaneous loss the core must survive.
+        timer: The election timer, for the timeout scale in force.
     """
 
-    def __init__(self, replica: Replica, now: float, tolerance: int, timing: Timing) -> None:
+    def __init__(self, replica: Replica, now: float, tolerance: int, timer: ElectionTimer) -> None:
         self.replica = replica
         self.tolerance = tolerance
-        self.timing = timing
-        timing.lead()
-        self.replication = Replication(replica, now, timing)
+        self.timer = timer
+        timer.become_leader()
+        self.replication = Replication(replica, now, timer)
         self.join_requests = JoinRequests()
         self.proposal: Propose | None = None
-        # when the proposal came, and whether its entry is being replicated
         self.proposed_at = now
-        self.proposal_in_flight = False
-        self.removed: list[Member] = []
+        self.proposal_in_flight = False  # its entry is being replicated
+        self.removed: list[Member] = []  # to be informed once the change that removes them is committed
         self.next_reconfiguration_check_at = now
         self.replication.replicate(now, replica.entry)
 
@@ -43,9 +58,9 @@
         return self.replication.peers
 
     @property
-    def lease(self) -> float:
+    def lease_until(self) -> float:
         """Until when no other leader can be elected, by this process's clock: `Replication.renew_lease`."""
-        return self.replication.lease
+        return self.replication.lease_until
 
     @property
     def newest_entry_committed(self) -> bool:
@@ -61,48 +76,52 @@
         return self.replication.quorum_contact_until()
 
     def tick(self, now: float, leaving: bool) -> bool:
-        """Send due heartbeats and entries, and begin a due membership change. False if it must step down."""
-        self._make_way(now, leaving)
-        ready = self.replication.transfer_since is not None and (
-            self.newest_entry_committed or now - self.replication.transfer_since > MAX_TRANSFER_WAIT_S
-        )
-        sick = self.replica.write_stalled_s(now) > self.replica.tuning.max_write_stall_s
-        if self.replication.has_lost_quorum(now) or (ready or sick) and self.transfer_leadership(now):
+        """Send due heartbeats and entries, and begin a due membership change.
+
+        Returns:
+            False if this leader must step down.
+        """
+        self._update_leadership_transfer(now, leaving)
+        if self.replication.has_lost_quorum(now):
+            return False
+        if self._should_transfer(now) and self.transfer_leadership(now):
             return False
-        if (
-            self.proposal is not None
-            and not self.proposal_in_flight
-            and now - self.proposed_at > self.replica.tuning.max_proposal_wait_s
-        ):
-            self._answer("refused")
+        max_wait_s = self.replica.tuning.max_proposal_wait_s
+        is_waiting = self.proposal is not None and not self.proposal_in_flight
+        if is_waiting and now - self.proposed_at > max_wait_s:
+            self._finish_proposal(ProposalOutcome.REJECTED)
         self._start_reconfiguration_if_due(now)
         if now >= self.replication.next_heartbeat_at:
             self.replication.broadcast(now)
         return True
 
+    # Proposals and commitment.
+
     def propose(self, now: float, proposal: Propose) -> None:
-        """Accept a proposal, to be replicated at once or when the uncommitted entry is committed. It is
-        refused while another one is pending or a leadership transfer is under way."""
+        """Accept a proposal, to be replicated at once or when the uncommitted entry is committed.
+
+        It is rejected while another one is pending or a leadership transfer is under way.
+        """
         if self.proposal is not None or self.replication.transfer_since is not None:
-            self.replica.out.append(Proposed(proposal.token, "refused"))
+            self.replica.outputs.append(Proposed(proposal.token, ProposalOutcome.REJECTED))
             return
         self.proposal = proposal
         self.proposed_at = now
         self.proposal_in_flight = False
-        self._start_waiting_proposal(now)
+        self._replicate_pending_proposal(now)
 
     def on_append_response(self, now: float, message: pb.Message) -> None:
         """A member has acknowledged a heartbeat or an entry."""
         if self.replication.on_append_response(now, message):
-            self.count(now)
+            self.commit_if_replicated(now)
 
-    def count(self, now: float) -> None:
+    def commit_if_replicated(self, now: float) -> None:
         """Commit the newest entry if it is on the disks of a quorum, and continue with what waited for that.
 
         A committed joint configuration is followed by the entry that has the new members alone.
         """
         replica = self.replica
-        entry = self.replica.entry
+        entry = replica.entry
         if self.newest_entry_committed:
             return
         disks = {p.disk for p in self.peers.values() if p.durable_position == entry.position}
@@ -112,7 +131,7 @@
             return
         replica.commit(entry)
         if self.proposal_in_flight:
-            self._answer("done")
+            self._finish_proposal(ProposalOutcome.COMMITTED)
         if entry.outgoing:
             self.removed = [m for m in entry.outgoing if m not in entry.members]
             self.replication.replicate(now, entry._replace(outgoing=()))
@@ -121,42 +140,67 @@
             send_removed(replica, entry, member.address, member.disk)
         self.removed = []
         self._start_reconfiguration_if_due(now)
-        self._start_waiting_proposal(now)
+        self._replicate_pending_proposal(now)
         if self.newest_entry_committed:
             self.replication.broadcast(now)
 
-    def join(self, now: float, sender: Address, message: pb.Message) -> None:
-        """Handle a join request: answer with a hint, and note the disk if it already has this leader's hint
-        (which the request's term shows)."""
+    def resign(self) -> None:
+        """Stop leading: report a pending proposal's outcome, which is unknown once it was replicated."""
+        if self.proposal is not None:
+            in_flight = self.proposal_in_flight
+            self._finish_proposal(ProposalOutcome.UNKNOWN if in_flight else ProposalOutcome.REJECTED)
+
+    def _finish_proposal(self, outcome: ProposalOutcome) -> None:
+        if self.proposal is not None:
+            self.replica.outputs.append(Proposed(self.proposal.token, outcome))
+        self.proposal = None
+        self.proposal_in_flight = False
+
+    def _replicate_pending_proposal(self, now: float) -> None:
+        """Replicate the pending proposal if no entry is uncommitted and no membership change under way."""
+        proposal = self.proposal
+        if proposal is None or self.proposal_in_flight:
+            return
+        entry = self.replica.entry
+        if not self.newest_entry_committed or entry.outgoing:
+            return
+        if proposal.expected_version != entry.version:
+            self._finish_proposal(ProposalOutcome.REJECTED)
+            return
+        self.proposal_in_flight = True
+        successor = entry._replace(version=entry.version + 1, value=proposal.value)
+        self.replication.replicate(now, successor, new_value=True)
+
+    # Membership changes.
+
+    def on_join(self, now: float, sender: Address, message: pb.Message) -> None:
+        """Handle a join request, and answer with a hint.
+
+        The disk counts once it has this leader's hint, which the request's term shows.
+        """
         replica = self.replica
-        known = self.replica.committed_entry
+        known = replica.committed_entry
         if message.disk in self.replication.past_members:  # a removed disk never rejoins under its old id
-            if (
-                known is not None
-                and not replica.entry.has_voter(message.disk)
-                and not known.has_voter(message.disk)
-            ):
+            is_voter = replica.entry.has_voter(message.disk)
+            if known is not None and not is_voter and not known.has_voter(message.disk):
                 send_removed(replica, known, sender, message.disk)
         elif message.term == replica.term:
             self.join_requests.add(now, message.disk, sender)
-            self._update_learner(
-                now,
-                Member(message.disk, sender),
-                (message.last_term, message.last_index),
-                (message.durable_term, message.durable_index),
-            )
-        send_leader_hint(self.replica, sender, message.disk, self.replica.me)
+            member = Member(message.disk, sender)
+            self._update_learner(now, member, last_position(message), durable_position(message))
+        send_leader_hint(replica, sender, message.disk, replica.address)
 
     def _update_learner(
         self, now: float, member: Member, last_position: LogPosition, durable_position: LogPosition
     ) -> None:
-        """Note what a joining disk holds, and holds on disk; it is sent the newest entry before it may be
-        chosen as a member."""
+        """Note what a joining disk holds, in memory and on disk.
+
+        It is sent the newest entry before it may be chosen as a member.
+        """
         peer = self.replication.learners.get(member.disk)
         if peer is None or peer.address != member.address:
-            peer = Peer(member, now)
-            peer.wait = self.replication.resend_s
-        peer.heard = now
+            peer = Peer(member, now, self.replication.first_resend_wait_s)
+        peer.last_heard_at = now
         peer.last_position = last_position
         peer.durable_position = durable_position
         self.replication.learners[member.disk] = peer
@@ -168,116 +212,116 @@
     def _replicate_to_learners(self, now: float) -> None:
         """Send the newest entry, which is committed, to learners that lack it, if there is room for one."""
         replica = self.replica
-        self.replication.learners = {
-            d: p for d, p in self.replication.learners.items() if d in self.join_requests.askers
-        }
-        if has_room(replica.entry.members, self.member_health(now), replica.tuning):
-            for peer in self.replication.learners.values():
-                if peer.last_position != replica.entry.position and now >= peer.next:
-                    self.replication.send_entry(now, peer, peer.last_position == self.replication.base)
-
-    def _make_way(self, now: float, leaving: bool) -> None:
-        """When leaving, prepare a leadership transfer (which refuses proposals) while a successor is
-        available; without one, go on leading."""
-        if not leaving or not self._heirs(now):
-            self.replication.transfer_since = None
-        elif self.replication.transfer_since is None:
-            self.replication.transfer_since = now
+        replication = self.replication
+        requests = self.join_requests.requests
+        replication.learners = {d: p for d, p in replication.learners.items() if d in requests}
+        if not has_room(replica.entry.members, self.member_health(now), replica.tuning):
+            return
+        for peer in replication.learners.values():
+            if peer.last_position != replica.entry.position and now >= peer.resend_at:
+                has_value = peer.last_position == replication.same_value_position
+                replication.send_entry(now, peer, with_value=not has_value)
 
-    def _heirs(self, now: float) -> list[Peer]:
-        """Members that may lead next: they stay, have answered within the election timeout, are in the new
-        configuration, and have the newest entry on disk if that is committed."""
+    def _start_reconfiguration_if_due(self, now: float) -> None:
+        """Begin a membership change if one is due and no proposal is pending."""
+        if now < self.next_reconfiguration_check_at:
+            return
+        if not self.newest_entry_committed or not self.has_leader_lease(now):
+            return
         entry = self.replica.entry
-        oldest = now - self.replica.tuning.election_min_s * self.timing.stretch
-        members = {m.disk for m in entry.members}
+        tuning = self.replica.tuning
+        self.next_reconfiguration_check_at = now + tuning.heartbeat_interval_s
+        max_age_s = JOIN_REQUEST_MAX_INTERVALS * tuning.request_interval_s
+        requests = self.join_requests.fresh(now, max_age_s)
+        self._replicate_to_learners(now)
+        if self.proposal is not None:
+            return
+        members = next_configuration(
+            now,
+            entry.members,
+            self.member_health(now),
+            self._eligible_requests(now, requests),
+            self.tolerance,
+            tuning,
+        )
+        if members is not None:
+            self.replication.replicate(now, entry._replace(members=members, outgoing=entry.members))
+
+    def _eligible_requests(self, now: float, requests: list[JoinRequest]) -> list[JoinRequest]:
+        """The join requests of disks that may be made members now.
+
+        A new member must have on disk an entry that was the newest no longer ago than the election timeout.
+        """
+        replication = self.replication
+        longest = self.replica.tuning.election_min_s * self.timer.timeout_scale
+        late = {position for position, at in replication.recent_entries.items() if now - at > longest}
+        fresh = {self.replica.entry.position, *replication.recent_entries} - late
         return [
-            p
-            for p in self.peers.values()
-            if not p.leaving
-            and p.acknowledged_at >= oldest
-            and p.disk in members
-            and (p.durable_position == entry.position or not self.newest_entry_committed)
+            request
+            for request in requests
+            if request.member.disk not in replication.past_members
+            and replication.learners[request.member.disk].durable_position in fresh
         ]
 
+    def member_health(self, now: float) -> dict[str, MemberHealth]:
+        """What is known of the reachability of each other voter, by disk."""
+        timeout_s = self.replica.tuning.presence_timeout_s
+        return {
+            peer.disk: MemberHealth(
+                silent_s=now - max(peer.last_heard_at, peer.added_at),
+                reachable=now - peer.last_heard_at <= timeout_s,
+                leaving=peer.leaving,
+            )
+            for peer in self.peers.values()
+        }
+
+    # Leadership transfer (Raft dissertation, 3.10).
+
     def transfer_leadership(self, now: float) -> bool:
-        """Ask the most recently heard successor that has the newest entry on disk to begin an election. If
-        True, this leader must step down."""
+        """Ask the most recently heard successor that has the newest entry on disk to begin an election.
+
+        Returns:
+            Whether there is one: this leader must then step down.
+        """
         replica = self.replica
-        able = [p for p in self._heirs(now) if p.durable_position == replica.entry.position]
+        newest = replica.entry.position
+        able = [p for p in self._transfer_candidates(now) if p.durable_position == newest]
         if not able:
             return False
         successor = max(able, key=lambda p: p.acknowledged_at)
         replica.send(successor.address, replica.message(pb.TIMEOUT_NOW, successor.disk))
         return True
 
-    def resign(self) -> None:
-        """Stop leading: report a pending proposal's outcome, which is `unknown` once it was replicated."""
-        if self.proposal is not None:
-            self._answer("unknown" if self.proposal_in_flight else "refused")
+    def _update_leadership_transfer(self, now: float, leaving: bool) -> None:
+        """When leaving, prepare a transfer, which rejects proposals, while a successor is available.
 
-    def _answer(self, outcome: str) -> None:
-        if self.proposal is not None:
-            self.replica.out.append(Proposed(self.proposal.token, outcome))
-        self.proposal = None
-        self.proposal_in_flight = False
+        Without one, go on leading.
+        """
+        if not leaving or not self._transfer_candidates(now):
+            self.replication.transfer_since = None
+        elif self.replication.transfer_since is None:
+            self.replication.transfer_since = now
 
-    def _start_waiting_proposal(self, now: float) -> None:
-        """Replicate the pending proposal if no entry is uncommitted and no membership change under way."""
-        proposal = self.proposal
-        if (
-            proposal is None
-            or self.proposal_in_flight
-            or not self.newest_entry_committed
-            or self.replica.entry.outgoing
-        ):
-            return
-        entry = self.replica.entry
-        if proposal.expected != entry.version:
-            self._answer("refused")
-            return
-        self.proposal_in_flight = True
-        self.replication.replicate(
-            now, entry._replace(version=entry.version + 1, value=proposal.value), new_value=True
-        )
+    def _should_transfer(self, now: float) -> bool:
+        """Whether leadership is to be transferred now: for a leave, or because writes stall."""
+        since = self.replication.transfer_since
+        is_ready = since is not None and (self.newest_entry_committed or now - since > MAX_TRANSFER_WAIT_S)
+        return is_ready or self.replica.write_stalled_s(now) > self.replica.tuning.max_write_stall_s
 
-    def _start_reconfiguration_if_due(self, now: float) -> None:
-        """Begin a membership change if one is due and no proposal is pending.
+    def _transfer_candidates(self, now: float) -> list[Peer]:
+        """Members that may lead next.
 
-        A new member must have on disk an entry that was the newest no longer ago than the election timeout.
+        They stay, have answered within the election timeout, are in the new configuration, and have the
+        newest entry on disk if that is committed.
         """
-        if (
-            now < self.next_reconfiguration_check_at
-            or not self.newest_entry_committed
-            or not self.has_leader_lease(now)
-        ):
-            return
         entry = self.replica.entry
-        t = self.replica.tuning
-        self.next_reconfiguration_check_at = now + t.heartbeat_interval_s
-        join_requests = [
-            a
-            for a in self.join_requests.fresh(now, 3 * t.request_interval_s)
-            if a.member.disk not in self.replication.past_members
-        ]
-        self._replicate_to_learners(now)
-        if self.proposal is not None:
-            return
-        longest = t.election_min_s * self.timing.stretch
-        late = {position for position, at in self.replication.recent_entries.items() if now - at > longest}
-        fresh = {entry.position, *self.replication.recent_entries} - late
-        able = [
-            a for a in join_requests if self.replication.learners[a.member.disk].durable_position in fresh
+        oldest = now - self.replica.tuning.election_min_s * self.timer.timeout_scale
+        members = {m.disk for m in entry.members}
+        return [
+            peer
+            for peer in self.peers.values()
+            if not peer.leaving
+            and peer.acknowledged_at >= oldest
+            and peer.disk in members
+            and (peer.durable_position == entry.position or not self.newest_entry_committed)
         ]
-        members = next_configuration(now, entry.members, self.member_health(now), able, self.tolerance, t)
-        if members is not None:
-            self.replication.replicate(now, entry._replace(members=members, outgoing=entry.members))
-
-    def member_health(self, now: float) -> dict[str, MemberHealth]:
-        """What is known of the reachability of each other voter, by disk."""
-        t = self.replica.tuning
-        return {
-            p.disk: MemberHealth(
-                now - max(p.heard, p.began), now - p.heard <= t.presence_timeout_s, p.leaving
-            )
-            for p in self.peers.values()
-        }
--- a/gateway/consensus/raft.py
+++ b/gateway/consensus/raft.py
@@ -1,4 +1,4 @@
-"""Consensus on the configuration: Raft with a log of one entry, which is the whole state.
+"""Raft with a log of one entry, which is the whole state.
 
 Elections, terms and the commitment rule are Raft's. A leader first commits what it held again in its own
 term. The entry is sent to members that lack it; heartbeats carry only its position. Members are disks: one
@@ -9,108 +9,149 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Sequence
+from enum import StrEnum
+from typing import NamedTuple, assert_never
 
-from gateway.consensus.api import (
+from gateway.consensus.candidate import CandidateRole
+from gateway.consensus.cluster_restart import ClusterRestart
+from gateway.consensus.election_timer import ElectionTimer
+from gateway.consensus.entry import (
+    EMPTY_ENTRY,
+    Entry,
+    Member,
+    PersistentState,
+    bootstrap_disk,
+    bootstrap_entry,
+)
+from gateway.consensus.events import (
     Event,
     KnownAddresses,
     Leave,
-    Output,
     Propose,
-    Proposed,
     Received,
-    Tuning,
+    Tick,
     WriteCompleted,
     WriteFailed,
 )
-from gateway.consensus.candidate import CandidateRole
-from gateway.consensus.cold_start import ColdStart
 from gateway.consensus.follower import FollowerRole
 from gateway.consensus.leader import LeaderRole
 from gateway.consensus.learner import LearnerRole
 from gateway.consensus.message_dispatch import MessageDispatch
-from gateway.consensus.records import (
-    EMPTY_ENTRY,
-    Entry,
-    Member,
-    PersistentState,
-    bootstrap_entry,
-)
+from gateway.consensus.outputs import Output, ProposalOutcome, Proposed
 from gateway.consensus.replica import Replica
-from gateway.consensus.timing import Timing
+from gateway.consensus.tuning import Tuning
 from gateway.consensus.voter import Voter
 from gateway.state_machine import Address
 
 
+class Role(StrEnum):
+    """What a disk is to the consensus group."""
+
+    LEADER = "leader"
+    CANDIDATE = "candidate"
+    FOLLOWER = "follower"
+    LEARNER = "learner"  # not a member; asks to be one
+
+
+class RaftConfig(NamedTuple):
+    """What a node is told at its start.
+
+    Attributes:
+        address: Of this process, where it receives messages.
+        seeds: Addresses of the seeds' processes.
+        first_start: Whether this is the first start of the whole system.
+        tolerance: The number of members that may be lost at once.
+        durable: Whether the disk outlives the process. If not, it is a member only if the first start made
+            it one, until durable disks replace it.
+        tuning: Timeouts and sizes.
+    """
+
+    address: Address
+    seeds: tuple[Address, ...]
+    first_start: bool = False
+    tolerance: int = 1
+    durable: bool = True
+    tuning: Tuning = Tuning()
+
+
 class RaftNode:
-    """One disk's Raft node, a state machine without I/O. `now`, in seconds of this process's steady clock,
-    must be read after the event arrived, because leases rest on it.
-
-    `stored` is the result of `Store.load`; it counts only once it is saved again, since a killed process may
-    have left it unsynced. `fresh` means the first start of the whole system. `seeds` are the addresses of
-    the seeds' processes, `new_disk_id` is a random id, used if this disk is to be a new member, `tolerance`
-    the number of members that may be lost at once. A process whose disk isn't `durable` is a member only if
-    the first start made it one, until durable disks replace it. `began` is when the process began, by
-    default `now`. `dropped` counts malformed messages by reason.
+    """One disk's Raft node, a state machine without I/O.
+
+    `now`, in seconds of this process's steady clock, must be read after the event arrived, because leases
+    rest on it. `dropped_messages` counts messages by the reason for which they were dropped.
+
+    Args:
+        config: What the node is told at its start.
+        stored: The result of `Store.load`. It counts only once it is saved again, since a killed process may
+            have left it unsynced.
+        rng: For election timeouts, ids and incarnations.
+        new_disk_id: A random id, used if this disk is to be a new member.
+        now: Seconds of this process's clock.
+        process_started_at: When the process began by that clock; None: now.
     """
 
     def __init__(
         self,
-        me: Address,
+        config: RaftConfig,
         stored: PersistentState | None,
-        fresh: bool,
-        seeds: Sequence[Address],
         rng: random.Random,
-        tuning: Tuning,
         new_disk_id: str,
-        tolerance: int,
         now: float,
-        began: float | None = None,
-        durable: bool = True,
+        process_started_at: float | None = None,
     ) -> None:
-        blank = stored is None
-        if stored is None and fresh and me in seeds:
-            stored = PersistentState("first-" + me, 0, "", bootstrap_entry(seeds))
-        self.replica = Replica(me, stored or PersistentState(new_disk_id, 0, "", EMPTY_ENTRY), tuning, rng)
-        self.tuning = tuning
+        self.config = config
+        self.tuning = config.tuning
         self.rng = rng
-        self.tolerance = tolerance
+        self.replica = Replica(
+            config.address, stored or _initial_state(config, new_disk_id), config.tuning, rng
+        )
         self.leader_role: LeaderRole | None = None
         self.candidate_role: CandidateRole | None = None
-        self.learner_role = LearnerRole(self.replica, seeds, durable)
-        until = now if blank else now + tuning.election_min_s * self.replica.stretch
-        self.cold_start = ColdStart(self.replica, now, until, now if began is None else began)
-        self.timing = Timing(self.replica, now)
-        self.follower_role = FollowerRole(self.replica, self.timing, now, leaving=not durable)
-        self.leaderless_since: float | None = None  # set while this is the leader: see `ColdStart`
-        self.voter = Voter(self.replica, self.cold_start, self.follower_role)
-        self.dropped: dict[str, int] = {}
-        # asked to leave; and removed from the members after that
-        self.leaving = False
-        self.left = False
+        self.learner_role = LearnerRole(self.replica, config.seeds, wants_membership=config.durable)
+        # A disk that was never used can't have acknowledged a heartbeat.
+        restart_s = 0.0 if stored is None else config.tuning.election_min_s * self.replica.timeout_scale
+        started_at = now if process_started_at is None else process_started_at
+        self.cluster_restart = ClusterRestart(self.replica, now, now + restart_s, started_at)
+        self.timer = ElectionTimer(self.replica, now)
+        self.follower_role = FollowerRole(self.replica, self.timer, now, leaving=not config.durable)
+        self.leaderless_since: float | None = None  # set while this is the leader: see `ClusterRestart`
+        self.voter = Voter(self.replica, self.cluster_restart, self.follower_role)
+        self.dropped_messages: dict[str, int] = {}
+        self.leaving = False  # this process ends soon
+        self.has_left = False  # it was removed from the members after that
         self.message_dispatch = MessageDispatch(self)
         self.reset_election_timer(now)
 
     @property
-    def role(self) -> str:
-        """`leader`, `candidate`, `follower` or `learner` (not a member; asks to be one)."""
+    def address(self) -> Address:
+        """The address of this process."""
+        return self.replica.address
+
+    @property
+    def tolerance(self) -> int:
+        """The number of members that may be lost at once."""
+        return self.config.tolerance
+
+    @property
+    def role(self) -> Role:
+        """What this disk is to the consensus group."""
         if self.leader_role is not None:
-            return "leader"
+            return Role.LEADER
         if not self.replica.is_voter:
-            return "learner"
-        return "follower" if self.candidate_role is None else "candidate"
+            return Role.LEARNER
+        return Role.FOLLOWER if self.candidate_role is None else Role.CANDIDATE
 
     @property
     def leader(self) -> Address | None:
         """The leader's address, as far as known."""
         if self.leader_role is not None:
-            return self.replica.me
+            return self.replica.address
         return self.follower_role.leader or (None if self.replica.is_voter else self.learner_role.leader)
 
     @property
     def members(self) -> tuple[Member, ...]:
         """The members by the newest entry held; none for a disk that isn't one."""
-        return () if self.role == "learner" else self.replica.entry.members
+        return () if self.role is Role.LEARNER else self.replica.entry.members
 
     @property
     def term(self) -> int:
@@ -118,96 +159,109 @@
         return self.replica.term
 
     @property
-    def committed(self) -> int:
+    def committed_version(self) -> int:
         """The version of the newest value known to be committed; 0 if none is."""
         return self.replica.committed_version
 
     @property
-    def value(self) -> Entry | None:
+    def committed_entry(self) -> Entry | None:
         """The newest entry known to be committed, with its version and value."""
         return self.replica.committed_entry
 
     def quorum_contact_until(self) -> float:
-        """A lease by this process's clock: until then it may claim to be in contact with a quorum, and that
-        `value` is the newest committed one, or was at most `election_max_s` ago."""
+        """A lease by this process's clock: until then it may claim to be in contact with a quorum.
+
+        It may also claim that `committed_entry` is the newest one, or was at most `election_max_s` ago.
+        """
         return (self.leader_role or self.follower_role).quorum_contact_until()
 
     def has_leader_lease(self, now: float) -> bool:
-        """Whether this is the leader, there can't be another one now, and `value` is the newest committed
-        one."""
+        """Whether this is the leader, and there can't be another one now.
+
+        Then `committed_entry` is the newest one.
+        """
         return self.leader_role is not None and self.leader_role.has_leader_lease(now)
 
     def handle(self, now: float, event: Event) -> list[Output]:
         """Handle an event; returns what is to be sent, written and reported."""
-        out = self.replica.out = []
-        if isinstance(event, Received):
-            self.message_dispatch.receive(now, event.sender, event.message)
-        elif isinstance(event, WriteCompleted):
-            if self.replica.written(now, event.token):
-                self._on_persisted(now)
-        elif isinstance(event, WriteFailed):
-            self.replica.failed(now, event.token)
-        elif isinstance(event, Propose):
-            self._propose(now, event)
-        elif isinstance(event, Leave):
-            self.leaving = True
-            self.follower_role.leaving = True
-        elif isinstance(event, KnownAddresses):
-            self.learner_role.learn(event.addresses)
-        else:
-            self._tick(now)
+        outputs: list[Output] = []
+        self.replica.outputs = outputs
+        match event:
+            case Received(sender, message):
+                self.message_dispatch.receive(now, sender, message)
+            case WriteCompleted(token):
+                if self.replica.on_write_completed(now, token):
+                    self._on_persisted(now)
+            case WriteFailed(token):
+                self.replica.on_write_failed(now, token)
+            case Propose():
+                self._propose(now, event)
+            case Leave():
+                self.leaving = True
+                self.follower_role.leaving = True
+            case KnownAddresses(addresses):
+                self.learner_role.set_core_addresses(addresses)
+            case Tick():
+                self._tick(now)
+            case _:
+                assert_never(event)
         self._advance(now)
-        self.replica.save(now)
-        return out
+        self.replica.write_if_needed(now)
+        return outputs
 
     def _propose(self, now: float, event: Propose) -> None:
         if self.leader_role is None:
-            self.replica.out.append(Proposed(event.token, "refused"))
+            self.replica.outputs.append(Proposed(event.token, ProposalOutcome.REJECTED))
         else:
             self.leader_role.propose(now, event)
 
     def _tick(self, now: float) -> None:
-        self.cold_start.tick(now)
-        self.timing.update(now)
-        self.follower_role.relax(now)
+        self.cluster_restart.tick(now)
+        self.timer.update(now)
+        self.follower_role.reset_unused_scale(now)
         if self.leader_role is not None:
             if not self.leader_role.tick(now, self.follower_role.leaving):
                 self.step_down(now)
-        elif now >= self.timing.election_deadline:
+        elif now >= self.timer.deadline:
             self.start_election(now)
         elif self.candidate_role is not None:
             self.candidate_role.tick(now)
-        if not self.replica.is_voter and not self.left:
+        if not self.replica.is_voter and not self.has_left:
             self.learner_role.tick(now)
 
     def start_election(self, now: float) -> None:
-        """No leader is heard: become a candidate, if this disk may. Soon after the process began, other
-        members may still withhold their votes, so requests are repeated often."""
+        """No leader is heard: become a candidate, if this disk may.
+
+        Soon after the process began, other members may still withhold their votes, so requests are repeated
+        often.
+        """
         self.reset_election_timer(now)
         self.follower_role.leader = None
-        may = self.voter.may_stand(now)
-        early = now < self.cold_start.until + self.tuning.election_max_s
-        retry_interval_s = 2 * self.tuning.heartbeat_interval_s * self.timing.stretch
-        if early:
+        restart_is_recent = now < self.cluster_restart.vote_withheld_until + self.tuning.election_max_s
+        if restart_is_recent:
             retry_interval_s = self.tuning.restart_query_interval_s
-        self.candidate_role = CandidateRole(self.replica, now, retry_interval_s) if may else None
+        else:
+            retry_interval_s = 2 * self.tuning.heartbeat_interval_s * self.timer.timeout_scale
+        self.candidate_role = None
+        if self.voter.may_start_election(now):
+            self.candidate_role = CandidateRole(self.replica, now, retry_interval_s)
         self.learner_role.probe_other_addresses()
 
     def _advance(self, now: float) -> None:
-        """Make the winner of an election the leader. A leader that has committed its own removal hands over
-        and steps down."""
+        """Make the winner of an election the leader.
+
+        A leader that has committed its own removal hands over and steps down.
+        """
         if self.candidate_role is not None and self.candidate_role.won:
-            self.leaderless_since = self.cold_start.leaderless_since()
+            self.leaderless_since = self.cluster_restart.leaderless_since()
             self.candidate_role = None
             self.follower_role.leader = None
-            self.cold_start.leaderless = False
-            self.leader_role = LeaderRole(self.replica, now, self.tolerance, self.timing)
-        elif (
-            self.leader_role is not None
-            and self.leader_role.newest_entry_committed
-            and not self.replica.is_voter
-        ):
-            self.leader_role.transfer_leadership(now)
+            self.cluster_restart.leaderless = False
+            self.leader_role = LeaderRole(self.replica, now, self.tolerance, self.timer)
+            return
+        leader_role = self.leader_role
+        if leader_role is not None and leader_role.newest_entry_committed and not self.replica.is_voter:
+            leader_role.transfer_leadership(now)
             self.rejoin_as_new_disk(now)
 
     def _on_persisted(self, now: float) -> None:
@@ -216,15 +270,15 @@
         if self.candidate_role is not None:
             self.candidate_role.on_persisted()
         if self.leader_role is not None:
-            self.leader_role.count(now)
+            self.leader_role.commit_if_replicated(now)
         else:
             self.follower_role.on_persisted(now)
-        if not self.replica.is_voter and not self.left:
+        if not self.replica.is_voter and not self.has_left:
             self.learner_role.report_progress(now)
 
     def reset_election_timer(self, now: float) -> None:
         """Wait for a leader for a new random election timeout."""
-        self.timing.reset_election_timer(now, self.follower_role.leaving)
+        self.timer.reset(now, self.follower_role.leaving)
 
     def step_down(self, now: float) -> None:
         """Become a follower that knows of no leader."""
@@ -241,12 +295,21 @@
         if self.leader_role is not None or self.candidate_role is not None:
             self.step_down(now)
         self.follower_role.leader = None
-        self.voter.pending_vote_reply = None
+        self.voter.pending_vote = None
         self.replica.enter_term(term)
 
     def rejoin_as_new_disk(self, now: float) -> None:
-        """Drop what this disk holds, which doesn't count any more, and ask to be a member under a new id,
-        unless this process is leaving."""
+        """Drop what this disk holds, which doesn't count any more, and ask to be a member under a new id.
+
+        A process that is leaving doesn't ask.
+        """
         self.step_down(now)
-        self.left = self.leaving
+        self.has_left = self.leaving
         self.replica.reset_identity(f"{self.rng.getrandbits(64):016x}")
+
+
+def _initial_state(config: RaftConfig, new_disk_id: str) -> PersistentState:
+    """The state of a disk on which nothing is stored."""
+    if config.first_start and config.address in config.seeds:
+        return PersistentState(bootstrap_disk(config.address), 0, "", bootstrap_entry(config.seeds))
+    return PersistentState(new_disk_id, 0, "", EMPTY_ENTRY)
--- a/gateway/consensus/replica.py
+++ b/gateway/consensus/replica.py
@@ -5,28 +5,33 @@
 import random
 
 from gateway.consensus import consensus_pb2 as pb
-from gateway.consensus.api import Committed, Output, Tuning, Write
-from gateway.consensus.records import EMPTY_ENTRY, Entry, PersistentState
+from gateway.consensus.entry import EMPTY_ENTRY, Entry, PersistentState
+from gateway.consensus.outputs import Committed, Output, Write
+from gateway.consensus.tuning import Tuning
 from gateway.state_machine import Address, Send
 
 EMPTY_STATE = PersistentState("", 0, "", EMPTY_ENTRY)
 
 
 class Replica:
-    """Term, vote and entry, in memory and as on disk (`persisted`). Outputs are collected in `out`."""
+    """Term, vote and entry, in memory and as on disk (`persisted`). Outputs are collected in `outputs`."""
 
-    def __init__(self, me: Address, stored: PersistentState, tuning: Tuning, rng: random.Random) -> None:
-        self.me = me
+    def __init__(self, address: Address, stored: PersistentState, tuning: Tuning, rng: random.Random) -> None:
+        self.address = address
         self.tuning = tuning
         self.rng = rng
-        self.disk, self.term, self.vote, self.entry, self.stretch = stored
+        self.disk = stored.disk
+        self.term = stored.term
+        self.vote = stored.vote
+        self.entry = stored.entry
+        self.timeout_scale = stored.timeout_scale
         self.persisted = EMPTY_STATE
         self.committed_entry: Entry | None = None  # the newest entry known to be committed
         self.committed_version = 0  # newest version that was output as committed
-        self.out: list[Output] = []
-        self.token = 0
-        self.writing: PersistentState | None = None
-        self.unpersisted_since: float | None = None  # since when a write has been needed and none has ended
+        self.outputs: list[Output] = []
+        self.write_token = 0  # of the newest write
+        self.write_in_flight: PersistentState | None = None
+        self.write_needed_since: float | None = None  # since when a write is needed and none has ended
         self.write_retry_at = 0.0
 
     @property
@@ -34,6 +39,8 @@
         """Whether this disk is a voter by the entry that it holds."""
         return self.entry.has_voter(self.disk)
 
+    # Messages.
+
     def message(self, kind: pb.Kind, to_disk: str = "") -> pb.Message:
         """A message of this disk and its term, to be filled in and sent."""
         return pb.Message(kind=kind, disk=self.disk, to_disk=to_disk, term=self.term)
@@ -53,7 +60,9 @@
 
     def send(self, to: Address, message: pb.Message) -> None:
         """Output a message to an address."""
-        self.out.append(Send(to, message))
+        self.outputs.append(Send(to, message))
+
+    # State changes.
 
     def enter_term(self, term: int) -> None:
         """Enter a later term, in which this disk hasn't voted. The term alone needs no write; a vote does."""
@@ -66,7 +75,7 @@
             self.committed_entry = entry
         if entry.version > self.committed_version:
             self.committed_version = entry.version
-            self.out.append(Committed(entry.version, entry.value))
+            self.outputs.append(Committed(entry.version, entry.value))
 
     def reset_identity(self, disk: str) -> None:
         """Become a disk, of this id, that has never been a member."""
@@ -75,6 +84,8 @@
         self.entry = EMPTY_ENTRY
         self.committed_entry = None
 
+    # The disk.
+
     def vote_is_persisted(self, disk: str) -> bool:
         """Whether the vote for that disk in this term is durable."""
         return (
@@ -87,51 +98,52 @@
         """Whether the newest entry held is durable."""
         return self.persisted.disk == self.disk and self.persisted.entry.position == self.entry.position
 
-    def save(self, now: float) -> None:
+    def write_if_needed(self, now: float) -> None:
         """Begin a write if one is needed and none is in flight."""
-        if not self._wanted():
-            if self.writing is None:
-                self.unpersisted_since = None
+        if not self._needs_write():
+            if self.write_in_flight is None:
+                self.write_needed_since = None
             return
-        if self.unpersisted_since is None:
-            self.unpersisted_since = now
-        if self.writing is None and now >= self.write_retry_at:
-            self.token += 1
-            self.writing = PersistentState(self.disk, self.term, self.vote, self.entry, self.stretch)
-            self.out.append(Write(self.token, self.writing))
-
-    def written(self, now: float, token: int) -> bool:
-        """A write has completed. False if it isn't the one in flight."""
-        if token != self.token or self.writing is None:
+        if self.write_needed_since is None:
+            self.write_needed_since = now
+        if self.write_in_flight is None and now >= self.write_retry_at:
+            self.write_token += 1
+            self.write_in_flight = PersistentState(
+                self.disk, self.term, self.vote, self.entry, self.timeout_scale
+            )
+            self.outputs.append(Write(self.write_token, self.write_in_flight))
+
+    def on_write_completed(self, now: float, token: int) -> bool:
+        """A write has completed. Returns False if it isn't the one in flight."""
+        if token != self.write_token or self.write_in_flight is None:
             return False
-        self.persisted = self.writing
-        self.writing = None
-        self.unpersisted_since = now if self._wanted() else None
+        self.persisted = self.write_in_flight
+        self.write_in_flight = None
+        self.write_needed_since = now if self._needs_write() else None
         return True
 
-    def failed(self, now: float, token: int) -> None:
+    def on_write_failed(self, now: float, token: int) -> None:
         """A write has failed; it is retried after `write_retry_s`."""
-        if token == self.token and self.writing is not None:
-            self.persisted = self.persisted._replace(stretch=self.promisable())  # the disk may have either
-            self.writing = None
+        if token == self.write_token and self.write_in_flight is not None:
+            # The disk may have either record.
+            self.persisted = self.persisted._replace(timeout_scale=self.durable_timeout_scale())
+            self.write_in_flight = None
             self.write_retry_at = now + self.tuning.write_retry_s
 
-    def promisable(self) -> float:
-        """The highest stretch that a restart is certain to find on disk, whether or not the write in flight
-        has taken effect."""
-        writing = self.stretch if self.writing is None else self.writing.stretch
-        return min(self.persisted.stretch, writing, self.stretch)
+    def durable_timeout_scale(self) -> float:
+        """The highest timeout scale that a restart surely finds on disk, whatever the write in flight did."""
+        in_flight = self.timeout_scale if self.write_in_flight is None else self.write_in_flight.timeout_scale
+        return min(self.persisted.timeout_scale, in_flight, self.timeout_scale)
 
     def write_stalled_s(self, now: float) -> float:
         """For how many seconds a write has been needed without any completing; 0 if none is needed."""
-        return 0.0 if self.unpersisted_since is None else now - self.unpersisted_since
+        return 0.0 if self.write_needed_since is None else now - self.write_needed_since
 
-    def _wanted(self) -> bool:
+    def _needs_write(self) -> bool:
         persisted = self.persisted
         return (
             self.disk != persisted.disk
             or self.entry.position != persisted.entry.position
-            or self.stretch != persisted.stretch
-            or self.vote != ""
-            and (self.term, self.vote) != (persisted.term, persisted.vote)
+            or self.timeout_scale != persisted.timeout_scale
+            or (self.vote != "" and (self.term, self.vote) != (persisted.term, persisted.vote))
         )
--- a/gateway/consensus/voter.py
+++ b/gateway/consensus/voter.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from gateway.consensus import consensus_pb2 as pb
-from gateway.consensus.cold_start import ColdStart
+from gateway.consensus.cluster_restart import ClusterRestart
+from gateway.consensus.codec import last_position
 from gateway.consensus.follower import FollowerRole
 from gateway.consensus.replica import Replica
 from gateway.state_machine import Address
@@ -11,74 +14,88 @@
 MAX_CANDIDATE_WRITE_STALL_S = 0.3  # a member whose writes stall for longer doesn't become a candidate
 
 
+class PendingVote(NamedTuple):
+    """A vote that is announced once it is durable: the candidate's disk and address."""
+
+    disk: str
+    address: Address
+
+
 class Voter:
-    """Answers candidates. A vote is announced only once it is on disk."""
+    """Answers candidates. A vote is announced only once it is on disk (Raft, 5.2 and 5.4.1)."""
 
-    def __init__(self, replica: Replica, cold_start: ColdStart, follower_role: FollowerRole) -> None:
+    def __init__(
+        self, replica: Replica, cluster_restart: ClusterRestart, follower_role: FollowerRole
+    ) -> None:
         self.replica = replica
-        self.cold_start = cold_start
+        self.cluster_restart = cluster_restart
         self.follower_role = follower_role
-        self.pending_vote_reply: tuple[str, Address] | None = None  # whom to inform once the vote is durable
+        self.pending_vote: PendingVote | None = None
 
     def may_vote(self, now: float, message: pb.Message) -> bool:
-        """Whether this disk may vote for a candidate now. It may not while a leader's lease may count on it:
-        because its vote is `withheld`, or, after a restart, because it has forgotten whether it is.
+        """Whether this disk may vote for a candidate now, or a leader's lease may still count on it.
 
+        It may not vote while its vote is withheld, nor after a restart while it has forgotten whether it is.
         The latter doesn't apply if all voters of this disk's newest entry have restarted and the candidate
         holds the very same entry. The former doesn't apply if the leader itself has requested the election.
         """
-        if now < self.cold_start.until and not (
-            (message.last_term, message.last_index) == self.replica.entry.position
-            and self.cold_start.all_members_restarted()
+        if now < self.cluster_restart.vote_withheld_until and not (
+            last_position(message) == self.replica.entry.position
+            and self.cluster_restart.all_members_restarted()
         ):
             return False
-        return message.leadership_transfer or now >= self.follower_role.withheld
+        return message.leadership_transfer or now >= self.follower_role.vote_withheld_until
 
-    def able(self, now: float) -> bool:
+    def is_eligible(self, now: float) -> bool:
         """Whether this disk may be a candidate when the leader asks it to: it is a voter and can write."""
         return self.replica.is_voter and self.replica.write_stalled_s(now) <= MAX_CANDIDATE_WRITE_STALL_S
 
-    def may_stand(self, now: float) -> bool:
+    def may_start_election(self, now: float) -> bool:
         """Whether this disk may become a candidate on its own: not before others might get its vote."""
-        begun = now >= self.cold_start.until or self.cold_start.all_members_restarted()
-        return self.able(now) and begun and now >= self.follower_role.withheld
+        restart_is_over = (
+            now >= self.cluster_restart.vote_withheld_until or self.cluster_restart.all_members_restarted()
+        )
+        return self.is_eligible(now) and restart_is_over and now >= self.follower_role.vote_withheld_until
+
+    def on_pre_vote(self, sender: Address, message: pb.Message, may_vote: bool) -> None:
+        """Answer whether this disk would vote for the sender in that term, which changes no state.
 
-    def pre_vote(self, sender: Address, message: pb.Message, may_vote: bool) -> None:
-        """Answer whether this disk would vote for the sender in that term. This changes no state; if this
-        disk's term isn't earlier, it is reported in any case."""
+        If this disk's term isn't earlier, it is reported in any case.
+        """
         replica = self.replica
-        answer = replica.message(pb.PRE_VOTE_RESPONSE, message.disk)
-        answer.sent = message.sent
+        response = replica.message(pb.PRE_VOTE_RESPONSE, message.disk)
+        response.sent_at = message.sent_at
         if message.term > replica.term:
-            if not may_vote or (message.last_term, message.last_index) < replica.entry.position:
+            if not may_vote or last_position(message) < replica.entry.position:
                 return
-            answer.granted = True
-            answer.term = message.term
-        replica.send(sender, answer)
+            response.granted = True
+            response.term = message.term
+        replica.send(sender, response)
+
+    def on_request_vote(self, sender: Address, message: pb.Message) -> bool:
+        """Decide on a vote in the present term, and answer once it is durable.
 
-    def request_vote(self, sender: Address, message: pb.Message) -> bool:
-        """Decide on a vote in the present term, and answer once it is durable. Returns whether the candidate
-        has the vote."""
+        Returns:
+            Whether the candidate has the vote.
+        """
         replica = self.replica
         if message.term < replica.term:
             replica.send(sender, replica.message(pb.VOTE_RESPONSE, message.disk))
             return False
-        if (
-            replica.vote not in ("", message.disk)
-            or (message.last_term, message.last_index) < replica.entry.position
-        ):
+        voted_for_another = replica.vote not in ("", message.disk)
+        if voted_for_another or last_position(message) < replica.entry.position:
             return False
         replica.vote = message.disk
-        self.pending_vote_reply = message.disk, sender
+        self.pending_vote = PendingVote(message.disk, sender)
         self.on_persisted()
         return True
 
     def on_persisted(self) -> None:
         """A write is durable: announce the vote if that is what was awaited."""
-        if self.pending_vote_reply is None or not self.replica.vote_is_persisted(self.pending_vote_reply[0]):
+        pending = self.pending_vote
+        if pending is None or not self.replica.vote_is_persisted(pending.disk):
             return
-        disk, address = self.pending_vote_reply
-        self.pending_vote_reply = None
-        answer = self.replica.message(pb.VOTE_RESPONSE, disk)
-        answer.granted = True
-        self.replica.send(address, answer)
+        self.pending_vote = None
+        response = self.replica.message(pb.VOTE_RESPONSE, pending.disk)
+        response.granted = True
+        self.replica.send(pending.address, response)
--- a/gateway/programs/control_api.py
+++ b/gateway/programs/control_api.py
@@ -12,6 +12,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from gateway.config.orders import ConfigState, decide
+from gateway.consensus.outputs import ProposalOutcome
 from gateway.membership.messages import Deregistration, Heartbeat
 from gateway.runtime import config_events
 from gateway.runtime.address import host_port
@@ -113,7 +114,7 @@
         if leads or leader is not None or self.led is None:
             self.led = now
         if self.out is not None and now - self.out_at > PROPOSAL_TIMEOUT_S:
-            self.proposed(now, self.out.token, "unknown")
+            self.proposed(now, self.out.token, ProposalOutcome.UNKNOWN)
         if self.ahead:
             self.requeue_postponed(now)
         judged = 0
@@ -167,19 +168,19 @@
         """The state of a committed value if it is that of the order in flight: it needn't be decoded."""
         return self.out.config_state if self.out is not None and self.out.value == value else None
 
-    def proposed(self, now: float, token: int, outcome: str) -> None:
-        """The outcome of a proposal: `done`, `refused` or `unknown`."""
+    def proposed(self, now: float, token: int, outcome: ProposalOutcome) -> None:
+        """The outcome of a proposal."""
         if self.out is None or self.out.token != token:
             return
         _, order, body, config_state, _ = self.out
         self.out = None
-        if outcome == "done":
+        if outcome == ProposalOutcome.COMMITTED:
             self.completed += 1
             order.reply(200, JSON, body)
             config_events.order_acknowledged(
                 self.core.config_in_force()[0], config_state.generation, now - order.came
             )
-        elif outcome == "refused" and now - order.came <= ORDER_PATIENCE_S:
+        elif outcome == ProposalOutcome.REJECTED and now - order.came <= ORDER_PATIENCE_S:
             self.refused_at = now
             self.orders.appendleft(order)
         else:  # it may be in force or not: a retry finds out
--- a/gateway/programs/controller.py
+++ b/gateway/programs/controller.py
@@ -7,10 +7,10 @@
 import random
 from typing import Any
 
-from gateway.consensus import api as consensus
+from gateway.consensus import events as consensus_events
 from gateway.consensus.consensus_pb2 import Message as ConsensusMessage
-from gateway.consensus.records import PersistentState
-from gateway.consensus.storage import Store
+from gateway.consensus.entry import PersistentState
+from gateway.consensus.store import Store
 from gateway.membership.membership_pb2 import Message as MembershipNote
 from gateway.programs import startup
 from gateway.programs.controller_node import ControllerNode
@@ -89,9 +89,9 @@
     if settings.network.listen.control is not None:
         await http_listener.listen(settings.network.listen.control)
     await stop.wait()
-    controller_node.handle_consensus(consensus.Leave())
+    controller_node.handle_consensus(consensus_events.Leave())
     left = steady() + 0.5 * settings.terms.bounds.grace_s
-    while steady() < left and not controller_node.raft.left:
+    while steady() < left and not controller_node.raft.has_left:
         await asyncio.sleep(0.05)
     ticker.stop()
     second.stop()
--- a/gateway/programs/controller_node.py
+++ b/gateway/programs/controller_node.py
@@ -10,9 +10,10 @@
 
 from gateway.config.digest import ExpectedDigests
 from gateway.config.orders import ConfigState, without_order_history
-from gateway.consensus import api as consensus
-from gateway.consensus.raft import RaftNode
-from gateway.consensus.records import PersistentState
+from gateway.consensus import events as consensus_events
+from gateway.consensus import outputs as consensus_outputs
+from gateway.consensus.entry import PersistentState
+from gateway.consensus.raft import RaftConfig, RaftNode
 from gateway.membership import messages as membership
 from gateway.membership import wire as membership_codec
 from gateway.membership.controller import ControllerMembership
@@ -67,19 +68,15 @@
         self.me = settings.own_address("controller")
         self.control_port = (settings.network.listen.control or "").rpartition(":")[2]
         seeds = [settings.controller_at(s) for s in settings.network.seeds]
-        self.raft = RaftNode(
+        raft_config = RaftConfig(
             self.me,
-            stored,
-            settings.own.fresh_start,
-            seeds,
-            rng,
-            consensus.Tuning(),
-            f"disk-{rng.getrandbits(64):x}",
-            settings.terms.fault_budget.machines,
-            clock(),
-            began,
+            tuple(seeds),
+            first_start=settings.own.fresh_start,
+            tolerance=settings.terms.fault_budget.machines,
             durable=settings.own.counted or settings.own.data_dir is not None,
         )
+        new_disk_id = f"disk-{rng.getrandbits(64):x}"
+        self.raft = RaftNode(raft_config, stored, rng, new_disk_id, clock(), began)
         zone = startup.zone_number(settings)
         self.membership = ControllerMembership(
             self.me, zone, seeds, settings.provider.beat_s, rng, startup.zone_numbers(settings)
@@ -107,7 +104,7 @@
     def leads(self, now: float) -> bool:
         """Whether this process has the leader lease and can read the committed version."""
         # A leader that can't read the committed version (of another release) must not decide on an older one.
-        return self.raft.has_leader_lease(now) and self.version == self.raft.committed
+        return self.raft.has_leader_lease(now) and self.version == self.raft.committed_version
 
     def leader_control(self) -> Address | None:
         """The `control` address of the leader, if that is another process; else None."""
@@ -117,7 +114,7 @@
         return self.control_at(leader)
 
     def member_control(self) -> Address | None:
-        members = () if self.me in self.membership.leases.core else self.raft.learner_role.core
+        members = () if self.me in self.membership.leases.core else self.raft.learner_role.core_addresses
         others = [member for member in members if member != self.me]
         return self.control_at(self.rng.choice(others)) if others else None
 
@@ -127,7 +124,7 @@
 
     def propose(self, token: int, value: bytes, expected: int) -> None:
         """Propose a value to replace the version `expected`."""
-        self.handle_consensus(consensus.Propose(token, value, expected))
+        self.handle_consensus(consensus_events.Propose(token, value, expected))
 
     def config_in_force(self) -> tuple[int, ConfigState]:
         """The version and the state in force here."""
@@ -137,7 +134,7 @@
 
     def on_consensus_message(self, sender: Address, note: Any) -> None:
         """A message of the consensus plane has arrived."""
-        self.handle_consensus(consensus.Received(sender, note))
+        self.handle_consensus(consensus_events.Received(sender, note))
 
     def on_membership_message(self, sender: Address, note: Any) -> None:
         """A message of the membership plane has arrived."""
@@ -159,11 +156,11 @@
         for out in self.raft.handle(now, event):
             if isinstance(out, Send):
                 self.driver.send(out.to, CONSENSUS, out.message)
-            elif isinstance(out, consensus.Write):
+            elif isinstance(out, consensus_outputs.Write):
                 self.driver.write(out.token, out.record)
-            elif isinstance(out, consensus.Committed):
+            elif isinstance(out, consensus_outputs.Committed):
                 self.committed(out)
-            elif isinstance(out, consensus.Proposed):
+            elif isinstance(out, consensus_outputs.Proposed):
                 self.control.proposed(now, out.token, out.outcome)
 
     def handle_membership(self, machine: ControllerMembership, event: Any) -> None:
@@ -182,7 +179,7 @@
             elif isinstance(out, membership.ConfigAdvertised):
                 self.fleet_monitor.heard(now, *out)
             elif isinstance(out, membership.CoreMembers):
-                self.handle_consensus(consensus.KnownAddresses(out.members))
+                self.handle_consensus(consensus_events.KnownAddresses(out.members))
 
     def handle_quota(self, machine: ShardAssigner | ShardOwner, event: Any) -> None:
         """Pass an input to the shard assigner or shard owner and carry out its outputs."""
@@ -197,18 +194,18 @@
     def seeds(self, addresses: tuple[Address, ...]) -> None:
         """The settings have other seeds."""
         self.handle_membership(self.membership, membership.SetSeeds(addresses))
-        self.handle_consensus(consensus.KnownAddresses(addresses))
+        self.handle_consensus(consensus_events.KnownAddresses(addresses))
 
     def written(self, token: int) -> None:
         """The record with this token is on disk."""
-        self.handle_consensus(consensus.WriteCompleted(token))
+        self.handle_consensus(consensus_events.WriteCompleted(token))
 
     def write_failed(self, token: int, why: str) -> None:
         """The record with this token couldn't be saved."""
         log.warning("the disk failed: %s", why)
-        self.handle_consensus(consensus.WriteFailed(token, why))
+        self.handle_consensus(consensus_events.WriteFailed(token, why))
 
-    def committed(self, news: consensus.Committed) -> None:
+    def committed(self, news: consensus_outputs.Committed) -> None:
         """A value was committed: apply it here, and publish it to the followers."""
         try:
             self.config_state = self.control.own_value(news.value) or ConfigState.decode(
@@ -254,7 +251,7 @@
 
     def tick(self, now: float) -> None:
         """Pass the time to all state machines."""
-        self.handle_consensus(consensus.Tick())
+        self.handle_consensus(consensus_events.Tick())
         self.publish_core(now)
         self.control.proceed(now)
         self.handle_membership(self.membership, membership.Tick())
@@ -280,7 +277,7 @@
             self.shard_assigner, quota.LeadershipChange(term, raft.has_leader_lease(now), since)
         )
         if leader_role is not None:
-            live = [p.address for p in leader_role.peers.values() if now - p.heard < PEER_ALIVE_S]
+            live = [p.address for p in leader_role.peers.values() if now - p.last_heard_at < PEER_ALIVE_S]
             members = [m.address for m in raft.members]
             self.handle_quota(self.shard_assigner, quota.LiveControllers((self.me, *live), members))
 
@@ -305,7 +302,7 @@
     def publish_core(self, now: float) -> None:
         """Publish the core's members and the leader to the other planes when they change."""
         raft = self.raft
-        known = raft.value
+        known = raft.committed_entry
         until = raft.quorum_contact_until()
         quorate = now < until
         self.handle_membership(self.membership, membership.SetQuorate(until))
--- a/gateway/programs/status_report.py
+++ b/gateway/programs/status_report.py
@@ -19,14 +19,14 @@
     entry = raft.replica.entry
     leader_role = raft.leader_role
     peers = leader_role.peers.values() if leader_role is not None else ()
-    heard = {p.disk: round(now - p.heard, 3) for p in peers if p.heard > 0}
+    heard = {p.disk: round(now - p.last_heard_at, 3) for p in peers if p.last_heard_at > 0}
     return {
-        "node": raft.replica.me,
+        "node": raft.address,
         "role": raft.role,
         "leader": raft.leader,
         "term": raft.term,
         "sure": raft.has_leader_lease(now),
-        "version": raft.committed,
+        "version": raft.committed_version,
         "changing": bool(entry.outgoing),
         "bears": quorum.tolerable_losses(len(entry.members)),
         "tolerance": raft.tolerance,
@@ -51,17 +51,18 @@
         return None
     position = replica.committed_entry.position
     there = {disk for disk, p in leader_role.member_health(now).items() if p.reachable and not p.leaving}
-    holders = sum(
+    replicas = sum(
         p.disk in there and p.durable_position is not None and p.durable_position >= position
         for p in leader_role.peers.values()
     )
     there.add(replica.disk)
     voter_sets = [
-        (len(council), sum(m.disk in there for m in council))
-        for council in (replica.entry.members, replica.entry.outgoing)
-        if council
+        quorum.VoterSet(len(voters), sum(m.disk in there for m in voters))
+        for voters in (replica.entry.members, replica.entry.outgoing)
+        if voters
     ]
-    return quorum.more(voter_sets, holders + (replica.persisted.entry.position >= position))
+    replicas += replica.persisted.entry.position >= position
+    return quorum.further_tolerable_losses(voter_sets, replicas)
 
 
 def _state(stays: bool, was: bool) -> str:
--- a/simulation/disk_loss_tolerance.py
+++ b/simulation/disk_loss_tolerance.py
@@ -7,7 +7,7 @@
 from itertools import combinations
 from typing import NamedTuple
 
-from gateway.consensus.records import PersistentState
+from gateway.consensus.entry import PersistentState
 from simulation.hunt import on_all_cores
 from simulation.model.deployment import Deployment
 from simulation.model.processes import ControllerProcess
@@ -84,7 +84,7 @@
         disks = [m.disk.stored for m in machines if m.disk.stored is not None]
         acknowledged = max(
             (
-                p.controller_node.raft.committed
+                p.controller_node.raft.committed_version
                 for m in machines
                 for p in m.processes.values()
                 if isinstance(p, ControllerProcess)
--- a/simulation/model/disk.py
+++ b/simulation/model/disk.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from gateway.consensus.records import PersistentState
+from gateway.consensus.entry import PersistentState
 from simulation.model.simulator import Process
 
 
--- a/simulation/model/injected_bugs.py
+++ b/simulation/model/injected_bugs.py
@@ -11,7 +11,8 @@
 
 from gateway.config.orders import ConfigState
 from gateway.config.routing import Route
-from gateway.consensus import api as consensus
+from gateway.consensus import events as consensus_events
+from gateway.consensus.outputs import ProposalOutcome
 from ingress import interface as io
 from ingress.net.connection_interfaces import ImmediateResponse
 from simulation.model.deployment import Deployment
@@ -170,7 +171,7 @@
 
     def at_once(token: int, value: bytes, expected: int) -> None:
         propose(token, value, expected)
-        controller_node.control.proposed(process.time(), token, "done")
+        controller_node.control.proposed(process.time(), token, ProposalOutcome.COMMITTED)
 
     controller_node.propose = at_once
 
@@ -179,7 +180,7 @@
     """Acknowledges whatever it is told to change."""
     controller_node: Any = process.controller_node
     controller_node.propose = lambda token, value, expected: controller_node.control.proposed(
-        process.time(), token, "done"
+        process.time(), token, ProposalOutcome.COMMITTED
     )
 
 
@@ -201,7 +202,7 @@
     handle_consensus = controller_node.handle_consensus
 
     def forgetful(event: Any) -> None:
-        if not isinstance(event, consensus.Propose):
+        if not isinstance(event, consensus_events.Propose):
             handle_consensus(event)
 
     controller_node.handle_consensus = forgetful
--- a/simulation/model/processes.py
+++ b/simulation/model/processes.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from gateway.consensus import api as consensus
-from gateway.consensus.records import PersistentState
+from gateway.consensus import events as consensus_events
+from gateway.consensus.entry import PersistentState
 from gateway.membership import messages as membership
 from gateway.programs import proxy_node as proxy_node_module
 from gateway.programs.controller_node import ControllerNode
@@ -209,12 +209,12 @@
         until = self.simulator.now + 0.5 * grace_s
 
         def look() -> None:
-            if self.simulator.now < until and not self.controller_node.raft.left:
+            if self.simulator.now < until and not self.controller_node.raft.has_left:
                 self.simulator.after(0.05, self.enter, look)
             else:
                 self.simulator.after(0.1, self.machine.end, self)
 
-        self.enter(self.controller_node.handle_consensus, consensus.Leave())
+        self.enter(self.controller_node.handle_consensus, consensus_events.Leave())
         self.enter(look)
 
 
--- a/simulation/recording.py
+++ b/simulation/recording.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple, cast
 
-from gateway.consensus.records import PersistentState
+from gateway.consensus.entry import PersistentState
 from gateway.programs.controller_node import ControllerNode
 from gateway.programs.proxy_node import ProxyNode
 from gateway.runtime.settings import Settings
--- a/tests/gateway/cli/test_operator_commands.py
+++ b/tests/gateway/cli/test_operator_commands.py
@@ -109,7 +109,7 @@
     assert all(quorum.tolerable_losses(quorum.members_needed(f)) == f for f in range(5))
     for n in range(1, 10):
         for loss in quorum.losses(n):
-            assert loss.keeps_orders or not loss.stays_available  # whatever goes on has lost nothing
+            assert loss.keeps_changes or not loss.stays_available  # whatever goes on has lost nothing
     assert [commands.run(["plan-core", n, "--tolerance", "2"]) for n in ("5", "4")] == [0, 2]
     out, err = capfd.readouterr()
     assert "acknowledged: on 3 of 5 disks" in out and "takes 5" in err
@@ -131,7 +131,7 @@
     others[0].disk_s = others[1].disk_s = others[2].disk_s = (60.0, 60.0)
     leader = core.leader()
     assert leader is not None
-    core.propose(leader, leader.machine.committed)
+    core.propose(leader, leader.machine.committed_version)
     core.run(0.2)
     assert told() == (2, True)  # what is under way is on two disks: not acknowledged yet
     core.kill(others[3].address)
@@ -147,7 +147,9 @@
     [(3, 3, 2, 1), (3, 3, 1, 0), (3, 2, 2, 0), (4, 4, 3, 1), (5, 5, 3, 2), (5, 4, 4, 1), (5, 2, 2, 0)],
 )
 def test_more_losses(disks: int, there: int, holders: int, more: int) -> None:
-    assert quorum.more([(disks, there)], holders) == more == quorum.more([(9, 9), (disks, there)], holders)
+    voters = quorum.VoterSet(disks, there)
+    assert quorum.further_tolerable_losses([voters], holders) == more
+    assert quorum.further_tolerable_losses([quorum.VoterSet(9, 9), voters], holders) == more
 
 
 def test_core_and_backends_are_shown(snapshot: SnapshotAssertion) -> None:
--- a/tests/gateway/consensus/catch_up.py
+++ b/tests/gateway/consensus/catch_up.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 
 from gateway.consensus import consensus_pb2 as pb
-from gateway.consensus.storage import Store
+from gateway.consensus.store import Store
 from gateway.state_machine import Send
 from tests.gateway.consensus.consensus_cluster import ConsensusCluster, Node, finish
 from tests.gateway.consensus.test_storage import record
@@ -35,7 +35,7 @@
 
     def _send(self, node: Node, output: Send) -> None:
         note = output.message
-        self.whole += output.to == self.to and note.kind == pb.ENTRY and not note.base_index
+        self.whole += output.to == self.to and note.kind == pb.APPEND_ENTRIES and not note.base_index
         super()._send(node, output)
 
 
@@ -53,10 +53,10 @@
     for _ in range(changes):
         core.run(2.0, lambda: core.leader() is not None)
         leader = core.leader()
-        token = core.propose(leader, leader.machine.committed)
+        token = core.propose(leader, leader.machine.committed_version)
         core.run(2.0, lambda token=token: token in core.outcomes)
     core.run(core.rng.uniform(0.5, 1.9))
-    newest = max(n.machine.committed for n in core.up())
+    newest = max(n.machine.committed_version for n in core.up())
     core.cut.clear()
     if how == "lossy":
         core.loss, core.delay_s = 0.1, (0.001, 0.05)
--- a/tests/gateway/consensus/consensus_cluster.py
+++ b/tests/gateway/consensus/consensus_cluster.py
@@ -7,10 +7,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from gateway.consensus import api
 from gateway.consensus import consensus_pb2 as pb
-from gateway.consensus.raft import RaftNode
-from gateway.consensus.records import PersistentState, get_entry
+from gateway.consensus import events, outputs
+from gateway.consensus.codec import get_entry
+from gateway.consensus.entry import PersistentState
+from gateway.consensus.raft import RaftConfig, RaftNode
+from gateway.consensus.tuning import Tuning
 from gateway.state_machine import Send
 
 TICK_S = 0.025
@@ -41,10 +43,10 @@
         count: int,
         seed: int,
         tolerance: int = 1,
-        tuning: api.Tuning | None = None,
+        tuning: Tuning | None = None,
         kind: Callable[..., RaftNode] = RaftNode,
     ) -> None:
-        self.tuning = tuning or api.Tuning()
+        self.tuning = tuning or Tuning()
         self.rng, self.kind, self.tolerance = random.Random(seed), kind, tolerance
         self.now, self.order, self.events = 100.0, 0, []
         self.loss = self.double = 0.0
@@ -89,14 +91,10 @@
         node = self.nodes[address]
         node.incarnation, node.heard = node.incarnation + 1, 0
         node.machine = self.kind(
-            address,
+            RaftConfig(address, tuple(self.seeds), fresh, self.tolerance, tuning=self.tuning),
             node.files,
-            fresh,
-            self.seeds,
             random.Random(self.rng.random()),
-            self.tuning,
             f"{self.rng.getrandbits(32):08x}",
-            self.tolerance,
             self.now,
         )
         self._tick(node, node.incarnation)
@@ -128,7 +126,7 @@
     def propose(self, node: Node, expected: int) -> int:
         token = len(self.asked) + 1
         self.asked[token] = (b"v%d" % token, expected)
-        self.give(node, api.Propose(token, *self.asked[token]))
+        self.give(node, events.Propose(token, *self.asked[token]))
         return token
 
     def give(self, node: Node, event: Any) -> None:
@@ -145,9 +143,9 @@
                 self.log.append(f"{self.now - self.log_from:.3f} {node.address} {tell(output)}")
             if isinstance(output, Send):
                 self._send(node, output)
-            elif isinstance(output, api.Write):
+            elif isinstance(output, outputs.Write):
                 self._write(node, output)
-            elif isinstance(output, api.Committed):
+            elif isinstance(output, outputs.Committed):
                 self._committed(node, output)
             else:
                 self._proposed(output)
@@ -155,7 +153,7 @@
     def _tick(self, node: Node, incarnation: int) -> None:
         if node.incarnation == incarnation and node.machine is not None:
             if self.now >= node.frozen:
-                self.give(node, api.Tick())
+                self.give(node, events.Tick())
                 self._check_lease(node)
             self.at(TICK_S * self.rng.uniform(0.9, 1.5), lambda: self._tick(node, incarnation))
 
@@ -168,9 +166,9 @@
     def _arrive(self, sender: str, output: Send) -> None:
         node = self.nodes.get(output.to)
         if node is not None and node.machine is not None and (sender, output.to) not in self.cut:
-            self.give(node, api.Received(sender, output.message))
+            self.give(node, events.Received(sender, output.message))
 
-    def _write(self, node: Node, write: api.Write) -> None:
+    def _write(self, node: Node, write: outputs.Write) -> None:
         incarnation, fails = node.incarnation, node.disk_fails
 
         def put() -> None:
@@ -184,7 +182,8 @@
                 node.files = node.stored = write.record
             if not self.early:
                 self.give(
-                    node, api.WriteFailed(write.token, "full") if fails else api.WriteCompleted(write.token)
+                    node,
+                    events.WriteFailed(write.token, "full") if fails else events.WriteCompleted(write.token),
                 )
 
         takes = self.rng.uniform(*node.disk_s)
@@ -193,45 +192,46 @@
         if self.early:
             self.at(
                 0.0,
-                lambda: node.incarnation == incarnation and self.give(node, api.WriteCompleted(write.token)),
+                lambda: node.incarnation == incarnation
+                and self.give(node, events.WriteCompleted(write.token)),
             )
 
-    def _committed(self, node: Node, output: api.Committed) -> None:
+    def _committed(self, node: Node, output: outputs.Committed) -> None:
         if output.version <= node.heard:
             raise InvariantViolation(f"{node.address} goes back from {node.heard} to {output.version}")
         node.heard = output.version
         if self.committed.setdefault(output.version, output.value) != output.value:
             raise InvariantViolation(f"two values of version {output.version}")
-        refused = {self.asked[t][0] for t, outcome in self.outcomes.items() if outcome == "refused"}
+        refused = {self.asked[t][0] for t, outcome in self.outcomes.items() if outcome == "rejected"}
         if output.value in refused:
             raise InvariantViolation(f"{output.value!r} was refused and is in force")
 
-    def _proposed(self, output: api.Proposed) -> None:
+    def _proposed(self, output: outputs.Proposed) -> None:
         if output.token in self.outcomes:
             raise InvariantViolation(f"proposal {output.token} is answered twice")
         self.outcomes[output.token] = output.outcome
         value, expected = self.asked[output.token]
-        if output.outcome == "done":
+        if output.outcome == "committed":
             if (
                 self.done.setdefault(expected + 1, value) != value
                 or self.committed.get(expected + 1) != value
             ):
                 raise InvariantViolation(f"{value!r} was acknowledged as version {expected + 1} and isn't")
             self.done_at.setdefault(expected + 1, self.now)
-        elif output.outcome == "refused" and value in self.committed.values():
+        elif output.outcome == "rejected" and value in self.committed.values():
             raise InvariantViolation(f"{value!r} is in force and gets refused")
 
     def _check_contact(self, node: Node) -> None:
         """Whoever says, before its next input, that it is in touch lacks nothing that was acknowledged a
         while ago; so a process that has just thawed doesn't say so."""
         until = node.machine.quorum_contact_until()
-        since = until - self.tuning.election_max_s * node.machine.timing.asked
+        since = until - self.tuning.election_max_s * node.machine.timer.requested_scale
         newest = max((v for v, at in self.done_at.items() if at <= since), default=0)
-        if self.now < until and node.machine.committed < newest:
+        if self.now < until and node.machine.committed_version < newest:
             if node.machine.has_leader_lease(self.now):
                 raise InvariantViolation(f"{node.address} is sure of an old version")
             raise InvariantViolation(
-                f"{node.address} is in touch and has version {node.machine.committed}, not {newest}"
+                f"{node.address} is in touch and has version {node.machine.committed_version}, not {newest}"
             )
 
     def _check_lease(self, node: Node) -> None:
@@ -242,7 +242,7 @@
                 until > since for who, until in self.led.items() if who != (node.address, node.incarnation)
             ):
                 raise InvariantViolation(f"{node.address} says that nobody has led since {since:.3f}")
-            if node.machine.committed < max(self.done, default=0):
+            if node.machine.committed_version < max(self.done, default=0):
                 raise InvariantViolation(f"{node.address} is sure of an old version")
             if any(o is not node and o.machine.has_leader_lease(self.now) for o in self.up()):
                 raise InvariantViolation("two leaders are sure")
@@ -292,7 +292,7 @@
         for _ in range(rng.randrange(4)):
             asker = core.leader() or rng.choice(core.up() or [None])
             if asker is not None and asker.machine is not None:
-                core.propose(asker, max(0, asker.machine.committed - (rng.random() < 0.1)))
+                core.propose(asker, max(0, asker.machine.committed_version - (rng.random() < 0.1)))
 
     def calm(self) -> None:
         """All that may come back is back, and nothing is in the way."""
@@ -305,7 +305,7 @@
             if node.machine is None or node.machine.leaving:
                 core.kill(node.address)
                 core.start(node.address)
-            core.give(node, api.KnownAddresses(tuple(core.nodes)))
+            core.give(node, events.KnownAddresses(tuple(core.nodes)))
 
     def _cut(self, node: Node) -> None:
         others = [a for a in self.core.nodes if a != node.address]
@@ -356,7 +356,7 @@
         core = self.core
         if core.run(2.0, lambda: core.leader() is not None):
             leader = core.leader()
-            token = core.propose(leader, leader.machine.committed)
+            token = core.propose(leader, leader.machine.committed_version)
             if core.run(2.0, lambda: token in core.outcomes):
                 wipe = self.rng.random() < 0.5 and self._may_lose(leader)
                 for each in list(core.nodes.values()):
@@ -369,7 +369,7 @@
             leader = core.leader()
             for other in [n for n in core.up() if n is not leader]:
                 other.disk_s = (0.3, 0.6)
-            token = core.propose(leader, leader.machine.committed)
+            token = core.propose(leader, leader.machine.committed_version)
             core.run(self.rng.uniform(0.15, 0.5))
             for other in [n for n in core.up() if n is not leader]:
                 core.kill(other.address, power=False)
@@ -387,7 +387,7 @@
             for n in self.core.nodes.values()
             if n.machine or n.files
         ]
-        known = [n.machine.value for n in self.core.up() if n.machine.value]
+        known = [n.machine.committed_entry for n in self.core.up() if n.machine.committed_entry]
         if not known:
             return False
         newest = [max(entries, key=lambda e: e.position) for entries in (held, known)]
@@ -418,7 +418,7 @@
 
     def _leave(self, node: Node) -> None:
         if node.machine is not None and self.core.now >= node.frozen:
-            self.core.give(node, api.Leave())
+            self.core.give(node, events.Leave())
             incarnation = node.incarnation
             self.core.at(1.0, lambda: node.incarnation == incarnation and self._restart(node))
 
@@ -440,11 +440,11 @@
 def finish(core: ConsensusCluster, within: float) -> None:
     """A proposal gets done, and everyone who is up learns it."""
     end, token = core.now + within, 0
-    while core.outcomes.get(token) != "done":
+    while core.outcomes.get(token) != "committed":
         if not core.run(end - core.now, lambda: core.leader() is not None):
             raise InvariantViolation(f"no leader within {within} s")
         leader = core.leader()
-        token = core.propose(leader, leader.machine.committed)
+        token = core.propose(leader, leader.machine.committed_version)
         core.run(end - core.now, lambda token=token: token in core.outcomes)
         if core.now >= end:
             raise InvariantViolation(f"nothing gets done within {within} s")
@@ -457,19 +457,19 @@
         )
 
 
-def tell(output: api.Output) -> str:
+def tell(output: outputs.Output) -> str:
     """An output in one line."""
-    if isinstance(output, api.Write):
-        disk, term, vote, entry, stretch = output.record
-        stretched = f", stretch {stretch:g}" if stretch != 1.0 else ""
-        return f"writes {disk}: term {term}, vote {vote or 'none'}, entry {entry.position}{stretched}"
+    if isinstance(output, outputs.Write):
+        disk, term, vote, entry, scale = output.record
+        scaled = f", timeout scale {scale:g}" if scale != 1.0 else ""
+        return f"writes {disk}: term {term}, vote {vote or 'none'}, entry {tuple(entry.position)}{scaled}"
     if not isinstance(output, Send):
         return str(output)
     message = output.message
-    skip = ("kind", "disk", "to_disk", "sent", "replied_at", "last_reply_at", "entry", "members")
+    skip = ("kind", "disk", "to_disk", "sent_at", "replied_at", "confirmed_reply_at", "entry", "members")
     parts = [f"{f.name}={v}" for f, v in message.ListFields() if f.name not in skip]
     if message.HasField("entry"):
         e = get_entry(message.entry)
         names = [[m.disk for m in council] for council in (e.members, e.outgoing)]
-        parts.append(f"entry={e.position} v{e.version} {e.value!r} of {names[0]} before {names[1]}")
+        parts.append(f"entry={tuple(e.position)} v{e.version} {e.value!r} of {names[0]} before {names[1]}")
     return " ".join([f"to {output.to}", pb.Kind.Name(message.kind), *parts])
--- a/tests/gateway/consensus/test_power_loss.py
+++ b/tests/gateway/consensus/test_power_loss.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from gateway.consensus.storage import Store
+from gateway.consensus.store import Store
 from tests.gateway.consensus.test_storage import record
 
 
@@ -114,7 +114,7 @@
     """Planted fault: the older generations go before the new one is synced."""
 
     def _sync(self, number: int) -> None:
-        for other in self._numbers() - {number}:
+        for other in self._generations() - {number}:
             self._remove(other)
         super()._sync(number)
 
--- a/tests/gateway/consensus/test_raft.py
+++ b/tests/gateway/consensus/test_raft.py
@@ -11,16 +11,17 @@
 from hypothesis import strategies as st
 from syrupy.assertion import SnapshotAssertion
 
-from gateway.consensus import api
 from gateway.consensus import consensus_pb2 as pb
-from gateway.consensus.cold_start import ColdStart
+from gateway.consensus import events
+from gateway.consensus.cluster_restart import ClusterRestart
+from gateway.consensus.election_timer import ElectionTimer
+from gateway.consensus.entry import LogPosition, Member, PersistentState, bootstrap_entry
 from gateway.consensus.follower import FollowerRole
 from gateway.consensus.leader import LeaderRole
-from gateway.consensus.raft import RaftNode
+from gateway.consensus.raft import RaftConfig, RaftNode
 from gateway.consensus.reconfiguration import JoinRequest, MemberHealth, next_configuration
-from gateway.consensus.records import Member, PersistentState, bootstrap_entry
 from gateway.consensus.replica import Replica
-from gateway.consensus.timing import Timing
+from gateway.consensus.tuning import Tuning
 from gateway.consensus.voter import Voter
 from gateway.state_machine import Send
 from tests.gateway.consensus.consensus_cluster import (
@@ -32,31 +33,31 @@
     tell,
 )
 
-STEADY = api.Tuning(heartbeat_interval_s=0.1, election_min_s=0.45, election_max_s=0.9)
+STEADY = Tuning(heartbeat_interval_s=0.1, election_min_s=0.45, election_max_s=0.9)
 
 
 class Forgetful(RaftNode):
     """Planted fault: an empty disk takes itself for the one that was lost."""
 
-    def __init__(self, me, stored, fresh, *rest) -> None:
-        super().__init__(me, stored, True, *rest)
+    def __init__(self, config, *rest) -> None:
+        super().__init__(config._replace(first_start=True), *rest)
 
 
-class MostBegun(ColdStart):
+class MostBegun(ClusterRestart):
     """Planted fault: it is enough that most have begun anew."""
 
     def all_members_restarted(self) -> bool:
-        return self.replica.entry.has_quorum({*self.others, self.replica.disk})
+        return self.replica.entry.has_quorum({*self.restarted_peers, self.replica.disk})
 
 
-class AnyTerm(ColdStart):
+class AnyTerm(ClusterRestart):
     """Planted fault: it is the first to lead if it has heard of no other, whoever else it hasn't heard."""
 
     def leaderless_since(self) -> float | None:
-        return self.began if self.leaderless else None
+        return self.process_started_at if self.leaderless else None
 
 
-class AnyAnswer(ColdStart):
+class AnyAnswer(ClusterRestart):
     """Planted fault: an answer to an earlier life counts."""
 
     def on_restarted(self, now, sender, message) -> None:
@@ -67,20 +68,20 @@
 class AnyPlace(Voter):
     """Planted fault: whoever asks has the vote, however old its entry."""
 
-    def pre_vote(self, sender, message, may_vote) -> None:
+    def on_pre_vote(self, sender, message, may_vote) -> None:
         message.last_term = 1 << 40
-        super().pre_vote(sender, message, may_vote)
+        super().on_pre_vote(sender, message, may_vote)
 
-    def request_vote(self, sender, message) -> bool:
+    def on_request_vote(self, sender, message) -> bool:
         message.last_term = 1 << 40
-        return super().request_vote(sender, message)
+        return super().on_request_vote(sender, message)
 
 
 class Trusting(RaftNode):
     """Planted fault: what a start finds in the files counts as synced."""
 
-    def __init__(self, me, stored, *rest) -> None:
-        super().__init__(me, stored, *rest)
+    def __init__(self, config, stored, *rest) -> None:
+        super().__init__(config, stored, *rest)
         self.replica.persisted = stored or self.replica.persisted
 
 
@@ -88,7 +89,7 @@
     """Planted fault: it is in touch while it hears a leader, though that may not hear it, or be sure."""
 
     def quorum_contact_until(self) -> float:
-        self.last_reply_at = self.heard
+        self.confirmed_reply_at = self.last_heartbeat_at
         return super().quorum_contact_until()
 
 
@@ -96,14 +97,14 @@
     """Planted fault: it is in touch while it lacks the newest entry."""
 
     def quorum_contact_until(self) -> float:
-        self.commit = 0, 0
+        self.commit_position = LogPosition(0, 0)
         return super().quorum_contact_until()
 
 
 def begins_as(part: type[Any]) -> Any:
     def make(*args: Any) -> RaftNode:
         machine = RaftNode(*args)
-        parts = machine.cold_start, machine.voter, machine.follower_role
+        parts = machine.cluster_restart, machine.voter, machine.follower_role
         next(p for p in parts if issubclass(part, type(p))).__class__ = part
         return machine
 
@@ -132,7 +133,9 @@
 
 def named(core: ConsensusCluster) -> dict[str, str]:
     """The disk of each address, by the newest entry that is agreed on."""
-    entry = max((n.machine.value for n in core.up() if n.machine.value), key=lambda e: e.position)
+    entry = max(
+        (n.machine.committed_entry for n in core.up() if n.machine.committed_entry), key=lambda e: e.position
+    )
     return {m.address: m.disk for m in entry.members}
 
 
@@ -220,15 +223,15 @@
 def test_all_but_the_leader_begin_anew() -> None:
     core, leader, others = settled()
     core.cut = {(leader.address, o.address) for o in others}
-    lease = leader.machine.leader_role.lease
+    lease = leader.machine.leader_role.lease_until
     for o in others:
         core.kill(o.address)
         core.start(o.address)
     assert core.run(1.5, lambda: core.leader() in others) and core.now > lease
 
 
-@pytest.mark.parametrize("part", [ColdStart, AnyAnswer])
-def test_answers_to_an_earlier_life(part: type[ColdStart]) -> None:
+@pytest.mark.parametrize("part", [ClusterRestart, AnyAnswer])
+def test_answers_to_an_earlier_life(part: type[ClusterRestart]) -> None:
     core, leader, _ = settled()
     for address in core.nodes:
         core.kill(address)
@@ -246,7 +249,7 @@
         core.start(o.address)
         for sender, out in sent:
             if (sender, out.to, out.message.kind) == (leader.address, o.address, pb.RESTARTED):
-                core.give(o, api.Received(sender, out.message))
+                core.give(o, events.Received(sender, out.message))
     if part is AnyAnswer:
         with pytest.raises(InvariantViolation, match="two leaders|nobody has led"):
             core.run(0.2)
@@ -266,7 +269,7 @@
         )
         return any(
             o.message.kind == pb.RESTARTED and o.message.to_incarnation == 7
-            for o in node.machine.handle(core.now, api.Received(lone.address, message))
+            for o in node.machine.handle(core.now, events.Received(lone.address, message))
         )
 
     assert not asked(leader) and not asked(other)
@@ -289,7 +292,7 @@
     )
     replica = Replica(seeds[0], stored, STEADY, random.Random(1))
     replica.persisted = stored
-    leader_role = LeaderRole(replica, 10.0, 0, Timing(replica, 10.0))
+    leader_role = LeaderRole(replica, 10.0, 0, ElectionTimer(replica, 10.0))
 
     def held(now: float) -> None:
         position = replica.entry.position
@@ -298,7 +301,7 @@
             pb.Message(
                 kind=pb.APPEND_RESPONSE,
                 disk="first-" + seeds[1],
-                sent=now,
+                sent_at=now,
                 last_term=position[0],
                 last_index=position[1],
                 durable_term=position[0],
@@ -308,13 +311,13 @@
 
     replica.persisted = replica.persisted._replace(entry=replica.entry)
     held(10.1)  # both voter sets have what it began with: now without itself
-    assert not replica.is_voter and leader_role.lease > 10.2 and not leader_role.has_leader_lease(10.2)
+    assert not replica.is_voter and leader_role.lease_until > 10.2 and not leader_role.has_leader_lease(10.2)
 
 
 def test_a_proposal(snapshot: SnapshotAssertion) -> None:
     core, leader, _ = settled()
     log = core.record()
-    assert outcome(core, leader, 1) == "done"
+    assert outcome(core, leader, 1) == "committed"
     core.run(0.006)
     assert "\n".join(log) == snapshot
 
@@ -334,18 +337,18 @@
 
 def test_what_is_refused() -> None:
     core, leader, others = settled()
-    assert outcome(core, others[0], 1) == "refused"  # not the leader
-    assert outcome(core, leader, 0) == "refused"  # builds on an older version
+    assert outcome(core, others[0], 1) == "rejected"  # not the leader
+    assert outcome(core, leader, 0) == "rejected"  # builds on an older version
     first, second = core.propose(leader, 1), core.propose(leader, 1)
     core.run(0.1)
-    assert (core.outcomes[first], core.outcomes[second]) == ("done", "refused")
+    assert (core.outcomes[first], core.outcomes[second]) == ("committed", "rejected")
 
 
 def test_a_proposal_waits_for_a_change_of_members() -> None:
     core, leader, _ = settled()
     core.add("10.0.1.1:1")
     assert core.run(3.0, lambda: bool(leader.machine.replica.entry.outgoing))
-    assert outcome(core, leader, 1) == "done"
+    assert outcome(core, leader, 1) == "committed"
     assert len(named(core)) == 4
 
 
@@ -357,7 +360,7 @@
     assert not leader.machine.has_leader_lease(core.now)
     assert core.run(3.0, lambda: core.leader() is not None)
     core.cut.clear()
-    assert outcome(core, core.leader(), 1) == "done"
+    assert outcome(core, core.leader(), 1) == "committed"
     assert core.outcomes[lone] == "unknown"
     assert b"v%d" % lone not in core.committed.values()
 
@@ -377,17 +380,17 @@
 def test_a_leader_whose_disk_hangs_hands_over() -> None:
     core, leader, others = settled()
     leader.disk_s = (5.0, 5.0)
-    assert outcome(core, leader, 1) == "done"  # on the two others' disks
+    assert outcome(core, leader, 1) == "committed"  # on the two others' disks
     gap = core.now
     assert core.run(2.0, lambda: core.leader() in others)
     assert 0.9 < core.now - gap < 1.3 and core.leader().machine.term == leader.machine.term
-    assert outcome(core, core.leader(), 2) == "done"
+    assert outcome(core, core.leader(), 2) == "committed"
 
 
 def test_a_full_disk_stops_nothing_else() -> None:
     core, leader, others = settled()
     others[0].disk_fails = True
-    assert outcome(core, leader, 1) == "done"
+    assert outcome(core, leader, 1) == "committed"
     core.run(0.2)
     assert others[0].heard == 2 and others[0].stored.entry.version == 1
     others[0].disk_fails = False
@@ -408,7 +411,7 @@
     core.run(0.4)
     assert killed.machine.replica.entry.version == 2 and token not in core.outcomes
     core.run(1.0, lambda: token in core.outcomes)
-    assert core.outcomes[token] == "done" and killed.stored.entry.version == 2
+    assert core.outcomes[token] == "committed" and killed.stored.entry.version == 2
 
 
 @pytest.mark.parametrize("how", ["cut", "killed", "wiped"])
@@ -420,7 +423,7 @@
     else:
         core.kill(away.address, wipe=how == "wiped")
     for version in range(1, 21):
-        assert outcome(core, leader, version) == "done"
+        assert outcome(core, leader, version) == "committed"
     core.run(1.5 if how == "wiped" else 3.2)
     core.cut.clear()
     if how != "cut":
@@ -430,9 +433,9 @@
 
 def test_leaving() -> None:
     core, leader, others = settled(4)
-    core.give(leader, api.Leave())
+    core.give(leader, events.Leave())
     assert core.run(0.1, lambda: core.leader() in others)
-    assert core.run(2.0, lambda: leader.machine.left)
+    assert core.run(2.0, lambda: leader.machine.has_left)
     core.run(2.0)
     assert leader.machine.role == "learner" and sorted(named(core)) == sorted(o.address for o in others)
 
@@ -464,25 +467,26 @@
     core.cut |= {way for a in far for b in core.nodes if b not in far for way in [(a, b), (b, a)]}
     lone = core.propose(leader, 1)
     assert core.run(3.0, lambda: core.leader() in (apart, other))
-    assert outcome(core, core.leader(), 1) == "done" and core.outcomes.get(lone) != "done"
+    assert outcome(core, core.leader(), 1) == "committed" and core.outcomes.get(lone) != "committed"
     core.cut.clear()
     finish(core, 5.0)
 
 
 def test_when_a_vote_is_given() -> None:
     seeds = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"]
-    stored = PersistentState("first-" + seeds[0], 3, "", bootstrap_entry(seeds)._replace(term=2, number=7))
-    machine = RaftNode(seeds[0], stored, False, seeds, random.Random(1), STEADY, "n", 1, 10.0)
-    assert [tell(o) for o in machine.handle(10.0, api.KnownAddresses(()))] == [
+    stored = PersistentState("first-" + seeds[0], 3, "", bootstrap_entry(seeds)._replace(term=2, log_index=7))
+    config = RaftConfig(seeds[0], tuple(seeds), tuning=STEADY)
+    machine = RaftNode(config, stored, random.Random(1), "n", 10.0)
+    assert [tell(o) for o in machine.handle(10.0, events.KnownAddresses(()))] == [
         "writes first-10.0.0.1:1: term 3, vote none, entry (2, 7)"
     ]  # a kill may have left it unsynced
-    machine.handle(10.1, api.WriteCompleted(1))
+    machine.handle(10.1, events.WriteCompleted(1))
 
     def asked(now: float, who: int, **fields: Any) -> list[str]:
         message = pb.Message(
             kind=pb.REQUEST_VOTE, disk="first-" + seeds[who], to_disk=stored.disk, last_term=2, **fields
         )
-        return [tell(o) for o in machine.handle(now, api.Received(seeds[who], message))]
+        return [tell(o) for o in machine.handle(now, events.Received(seeds[who], message))]
 
     assert asked(10.4, 1, term=4, last_index=7) == []  # it may have told a leader just before its end
     assert asked(10.5, 1, term=4, last_index=6) == []  # behind
@@ -490,13 +494,13 @@
         "writes first-10.0.0.1:1: term 4, vote first-10.0.0.2:1, entry (2, 7)"
     ]
     assert asked(10.5, 2, term=4, last_index=8) == []  # one vote a term
-    assert [tell(o) for o in machine.handle(10.6, api.WriteCompleted(2))] == [
+    assert [tell(o) for o in machine.handle(10.6, events.WriteCompleted(2))] == [
         "to 10.0.0.2:1 VOTE_RESPONSE term=4 granted=True"
     ]
     asked(10.6, 1, term=4, last_index=7)
     machine.handle(
         10.7,
-        api.Received(
+        events.Received(
             seeds[1], pb.Message(kind=pb.HEARTBEAT, disk="first-" + seeds[1], to_disk=stored.disk, term=4)
         ),
     )
@@ -523,7 +527,7 @@
 def test_next_members(silent: dict, learner: Member | None, waited: float, after: str | None) -> None:
     others = {m.disk: MemberHealth(s := silent.get(m.disk, 0.05), s <= 1.0, False) for m in MEMBERS[1:]}
     askers = [JoinRequest(learner, 10.0 - waited, 10.0)] if learner else []
-    found = next_configuration(10.0, MEMBERS, others, askers, 1, api.Tuning())
+    found = next_configuration(10.0, MEMBERS, others, askers, 1, Tuning())
     assert (found and sorted(m.disk for m in found)) == (after and sorted(after))
 
 
@@ -538,15 +542,15 @@
             term=st.integers(0, 2**64 - 1),
             last_term=st.integers(0, 9),
             last_index=st.integers(0, 9),
-            commit=st.integers(0, 9),
-            sent=st.floats(),
+            commit_index=st.integers(0, 9),
+            sent_at=st.floats(),
             granted=st.booleans(),
             leadership_transfer=st.booleans(),
             leader=st.sampled_from(["", "10.0.0.9:1"]),
             entry=st.builds(
                 pb.Entry,
                 term=st.integers(0, 3),
-                number=st.integers(0, 3),
+                index=st.integers(0, 3),
                 members=st.lists(st.builds(pb.Member, disk=st.sampled_from(["", "x"])), max_size=2),
             ),
             members=st.lists(st.builds(pb.Member), max_size=20),
@@ -556,7 +560,8 @@
 )
 def test_odd_notes_are_dropped(notes: list) -> None:
     seeds = ["10.0.0.1:1", "10.0.0.2:1"]
-    machine = RaftNode(seeds[0], None, True, seeds, random.Random(1), api.Tuning(), "n", 1, 0.0)
+    config = RaftConfig(seeds[0], tuple(seeds), first_start=True)
+    machine = RaftNode(config, None, random.Random(1), "n", 0.0)
     for i, message in enumerate(notes):
-        machine.handle(i * 0.3, api.Received(seeds[1], message))
-        machine.handle(i * 0.3, api.Tick())
+        machine.handle(i * 0.3, events.Received(seeds[1], message))
+        machine.handle(i * 0.3, events.Tick())
--- a/tests/gateway/consensus/test_reconfiguration.py
+++ b/tests/gateway/consensus/test_reconfiguration.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from gateway.consensus import api
+from gateway.consensus import events
+from gateway.consensus.entry import Entry, LogPosition, Member
 from gateway.consensus.leader import LeaderRole
-from gateway.consensus.raft import RaftNode
-from gateway.consensus.records import Entry, LogPosition, Member
+from gateway.consensus.raft import RaftConfig, RaftNode
 from tests.gateway.consensus.consensus_cluster import ConsensusCluster, InvariantViolation, Node, finish
 from tests.gateway.consensus.test_raft import STEADY, named, outcome, settled
 
@@ -54,7 +54,7 @@
     goes_on = core.run(3.0, lambda: core.leader() is not None)
     assert goes_on == (part is LeaderRole) != (late.address in named(core))
     if goes_on:
-        assert outcome(core, core.leader(), 1) == "done"  # type: ignore[arg-type]
+        assert outcome(core, core.leader(), 1) == "committed"  # type: ignore[arg-type]
 
 
 def test_one_that_cannot_catch_up_holds_up_nobody() -> None:
@@ -87,7 +87,7 @@
     assert node.machine.role == "learner" and node.machine.members == () and node.heard == 0
     disk = node.stored.disk
     core.kill(node.address)
-    assert outcome(core, leader, 1) == "done"
+    assert outcome(core, leader, 1) == "committed"
     core.start(node.address)
     assert core.run(3.0, lambda: node.address in named(core)) and named(core)[node.address] == disk
     finish(core, 3.0)
@@ -100,7 +100,7 @@
     core.start(others[0].address)
     began, done = core.now, 0
     while named(core)[others[0].address].startswith("first-") and core.now < began + 2.0:
-        assert outcome(core, leader, leader.machine.committed) == "done"
+        assert outcome(core, leader, leader.machine.committed_version) == "committed"
         done += 1
     assert core.now < began + 0.5 and done > 5
 
@@ -111,8 +111,8 @@
     for node in others[:dead]:
         core.kill(node.address)
     core.run(1.2)
-    core.give(others[-1], api.Leave())
-    assert core.run(2.0, lambda: others[-1].machine.left) and len(named(core)) == count - 1
+    core.give(others[-1], events.Leave())
+    assert core.run(2.0, lambda: others[-1].machine.has_left) and len(named(core)) == count - 1
     core.kill(others[-1].address, wipe=True)
     finish(core, 3.0)
 
@@ -135,11 +135,11 @@
 
     def order() -> None:
         if leader.machine is not None and not full():
-            core.propose(leader, leader.machine.committed)
+            core.propose(leader, leader.machine.committed_version)
             core.at(0.02, order)
 
     def full() -> bool:
-        known = leader.machine.value
+        known = leader.machine.committed_entry
         return not known.outgoing and node.stored is not None and known.has_voter(node.stored.disk)
 
     order()
@@ -188,18 +188,18 @@
     core, leader, (other, old) = settled()
     new = newcomer(core)
     core.run(0.3)
-    core.give(old, api.Leave())
+    core.give(old, events.Leave())
     left = iter(range(event))
     core.run(2.0, lambda: next(left, None) is None)
-    done = old.machine.left
+    done = old.machine.has_left
     ours, theirs = {leader.address, new.address}, {other.address, old.address}
     core.cut = {way for a in ours for b in theirs for way in ((a, b), (b, a))}
-    core.propose(leader, leader.machine.committed)
+    core.propose(leader, leader.machine.committed_version)
     core.run(0.5)
-    core.propose(leader, leader.machine.committed)
+    core.propose(leader, leader.machine.committed_version)
     core.run(2.0)
     for node in (other, old):
-        core.propose(node, node.machine.committed)
+        core.propose(node, node.machine.committed_version)
     core.run(0.5)
     core.cut.clear()
     core.kill(old.address, wipe=True)
@@ -237,7 +237,7 @@
     assert joint.outgoing and not any(o.machine.replica.entry.outgoing for o in others)
     core.kill(leader.address)
     assert core.run(2.0, lambda: core.leader() in others)
-    assert outcome(core, core.leader(), 1) == "done"  # type: ignore[arg-type]
+    assert outcome(core, core.leader(), 1) == "committed"  # type: ignore[arg-type]
     core.cut.clear()
     assert leader.stored.entry.position == joint.position
     core.start(leader.address)
@@ -249,8 +249,8 @@
 def of_two_kinds(lasting: set[str], seed: int) -> ConsensusCluster:
     """A core at its first start, two of its three seeds on machines whose disks end with their processes."""
 
-    def begin(me: str, *rest: Any) -> RaftNode:
-        return RaftNode(me, *rest, durable=me in lasting)
+    def begin(config: RaftConfig, *rest: Any) -> RaftNode:
+        return RaftNode(config._replace(durable=config.address in lasting), *rest)
 
     core = ConsensusCluster(3, seed, kind=begin)
     for address in sorted(lasting - {*core.nodes}):
@@ -267,7 +267,7 @@
         core.run(8.0)
         leader = core.leader()
         assert leader is not None and leader.address not in others
-        assert outcome(core, leader, leader.machine.committed) == "done"
+        assert outcome(core, leader, leader.machine.committed_version) == "committed"
         assert {m.address for m in leader.machine.members} == {*core.nodes} - others
         assert all(core.nodes[a].machine.leader == leader.address for a in others)  # named to callers
         for address in others:  # any number of them may go
--- a/tests/gateway/consensus/test_slow_links.py
+++ b/tests/gateway/consensus/test_slow_links.py
@@ -8,11 +8,11 @@
 import pytest
 
 from gateway.consensus import consensus_pb2 as pb
+from gateway.consensus.election_timer import ElectionTimer
 from gateway.consensus.follower import FollowerRole
 from gateway.consensus.leader import LeaderRole
 from gateway.consensus.raft import RaftNode
 from gateway.consensus.replica import Replica
-from gateway.consensus.timing import Timing
 from tests.gateway.consensus.consensus_cluster import ConsensusCluster, InvariantViolation, Node, finish
 
 WAYS_S = (0.001, 0.035, 0.15, 0.3)
@@ -41,7 +41,7 @@
         if leader is None:
             core.run(0.05)
             continue
-        token = core.propose(leader, leader.machine.committed)
+        token = core.propose(leader, leader.machine.committed_version)
         core.run(min(3.0, end - core.now), lambda token=token: token in core.outcomes)
         core.run(0.05)
     return len(core.done) - before
@@ -67,18 +67,18 @@
     core._send = lambda node, out: (sent.append(out.message), send_original(node, out))  # type: ignore
     finish(core, 3.0)
     orders_for(core, 5.0)
-    assert not any(message.stretch for message in sent)
-    assert {n.stored.stretch for n in core.up()} == {1.0}
+    assert not any(message.timeout_scale for message in sent)
+    assert {n.stored.timeout_scale for n in core.up()} == {1.0}
 
 
 def test_slow_links_that_are_fast_again_end_the_longer_timeouts() -> None:
     core = Slow(3, 2, 0.3)
     core.run(20.0, lambda: core.leader() is not None)
     core.run(3.0)
-    assert max(n.stored.stretch for n in core.up()) > 1.0
+    assert max(n.stored.timeout_scale for n in core.up()) > 1.0
     core.way_s = 0.001
     core.run(16.0)
-    assert {n.stored.stretch for n in core.up()} == {1.0}
+    assert {n.stored.timeout_scale for n in core.up()} == {1.0}
     core.kill(core.leader().address)
     assert core.run(1.0, lambda: core.leader() is not None)
 
@@ -133,7 +133,7 @@
     def orders(self) -> None:
         for node in self.core.up():
             if node.machine.leader_role is not None:
-                self.core.propose(node, node.machine.committed)
+                self.core.propose(node, node.machine.committed_version)
 
     def isolate(self) -> None:
         """The leader hears nobody, or nobody hears it, or both."""
@@ -194,7 +194,7 @@
     """Planted fault: the lease runs from when an answer came, not from when its heartbeat went out."""
 
     def on_append_response(self, now: float, message: pb.Message) -> None:
-        message.sent = now
+        message.sent_at = now
         super().on_append_response(now, message)
 
 
@@ -202,31 +202,31 @@
     """Planted fault: the lease counts on what was asked for, whatever the voter has promised."""
 
     def on_append_response(self, now: float, message: pb.Message) -> None:
-        message.stretch = self.timing.stretch
+        message.timeout_scale = self.timer.timeout_scale
         super().on_append_response(now, message)
 
 
 class Newest(FollowerRole):
     """Planted fault: a heartbeat that asks for less takes back what an earlier one was promised."""
 
-    def _withhold(self, now: float, asked: float) -> None:
-        super()._withhold(now, asked)
-        self.withheld = now + self.promise * self.replica.tuning.election_min_s
+    def _withhold_vote(self, now: float, asked: float) -> None:
+        super()._withhold_vote(now, asked)
+        self.vote_withheld_until = now + self.promised_scale * self.replica.tuning.election_min_s
 
 
 class Unsaved(Replica):
     """Planted fault: a promise needn't be on disk."""
 
-    def promisable(self) -> float:
+    def durable_timeout_scale(self) -> float:
         return 10.0
 
 
-class Hasty(Timing):
+class Hasty(ElectionTimer):
     """Planted fault: a member stands for election, and votes for itself, as on fast links."""
 
     @property
-    def stretch(self) -> float:
-        return self.measured
+    def timeout_scale(self) -> float:
+        return self.measured_scale
 
 
 def planted(fault: type[Any]) -> Any:
@@ -234,7 +234,7 @@
 
     def make(*args: Any) -> RaftNode:
         machine = RaftNode(*args)
-        for part in (machine.follower_role, machine.replica, machine.timing):
+        for part in (machine.follower_role, machine.replica, machine.timer):
             if issubclass(fault, type(part)):
                 part.__class__ = fault
         if issubclass(fault, LeaderRole):
@@ -247,7 +247,7 @@
 
             machine.handle = handles  # type: ignore[method-assign]
         if fault is Hasty:
-            machine.voter.may_stand = machine.voter.able  # type: ignore[method-assign]
+            machine.voter.may_start_election = machine.voter.is_eligible  # type: ignore[method-assign]
         return machine
 
     return make
@@ -279,7 +279,7 @@
     def asks_less(self) -> None:
         """The leader is cut off right after the links have become fast and it asks for less."""
         self.way_s = 0.001
-        self.run(3.0, lambda: self.first.machine.timing.stretch == 1.0)
+        self.run(3.0, lambda: self.first.machine.timer.timeout_scale == 1.0)
         self.run(0.1)
         self.part(*self.others)
 
@@ -288,7 +288,7 @@
         for node in self.others:
             node.disk_s = (3.0, 3.0)
         self.way_s = 0.08
-        self.run(2.0, lambda: self.first.machine.timing.stretch > 1.0)
+        self.run(2.0, lambda: self.first.machine.timer.timeout_scale > 1.0)
         self.run(0.5)
         self.way_s = 0.001
         self.run(0.15)
--- a/tests/gateway/consensus/test_storage.py
+++ b/tests/gateway/consensus/test_storage.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from gateway.consensus.records import PersistentState, bootstrap_entry
-from gateway.consensus.storage import Store
+from gateway.consensus.entry import PersistentState, bootstrap_entry
+from gateway.consensus.store import Store
 
 SEEDS = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"]
 
@@ -111,9 +111,7 @@
     store.save(record(1))
     assert len(synced) == 7 and files(tmp_path, 2)
     store = Store(str(tmp_path))
-    monkeypatch.setattr(
-        "gateway.consensus.storage._sync", lambda path: path.endswith(".dat") and os.close(-1)
-    )
+    monkeypatch.setattr("gateway.consensus.store._sync", lambda path: path.endswith(".dat") and os.close(-1))
     with pytest.raises(OSError):
         store.save(record(1))
     monkeypatch.undo()
@@ -138,7 +136,7 @@
     store = Store(str(tmp_path))
     store.save(record(1))
     monkeypatch.setattr(
-        "gateway.consensus.storage._ModelessDatabase._addval", lambda *_: (_ for _ in ()).throw(OSError(28))
+        "gateway.consensus.store._ModelessDatabase._addval", lambda *_: (_ for _ in ()).throw(OSError(28))
     )
     for _ in range(3):
         with pytest.raises(OSError):
--- a/tests/gateway/programs/controller_cluster.py
+++ b/tests/gateway/programs/controller_cluster.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from gateway.config.orders import ConfigState
-from gateway.consensus import api
+from gateway.consensus import events, outputs
 from gateway.programs.control_api import CONFIG, Control
 from gateway.runtime.http_listener import HttpCall
 from tests.gateway.consensus.consensus_cluster import (
@@ -64,7 +64,7 @@
         return None
 
     def propose(self, token: int, value: bytes, expected: int) -> None:
-        self.core.give(self.node, api.Propose(token, value, expected))
+        self.core.give(self.node, events.Propose(token, value, expected))
 
     def config_in_force(self) -> tuple[int, ConfigState]:
         return self.version, self.config_state
@@ -97,7 +97,7 @@
         outer, self.giving = self.giving, node
         super().give(node, event)
         self.giving = outer
-        if isinstance(event, api.Tick) and self.now >= node.frozen:
+        if isinstance(event, events.Tick) and self.now >= node.frozen:
             self.controllers[node.address].control.proceed(self.now)
 
     def propose(self, node: Node, expected: int) -> int:
@@ -105,13 +105,13 @@
         self.begin()
         return len(self.orders) - 1
 
-    def _proposed(self, output: api.Proposed) -> None:
+    def _proposed(self, output: outputs.Proposed) -> None:
         controller = self.controllers[self.giving.address]
-        if output.outcome == "done":
+        if output.outcome == "committed":
             self.done[controller.version] = self.committed[controller.version]
         controller.control.proposed(self.now, output.token, output.outcome)
 
-    def _committed(self, node: Node, output: api.Committed) -> None:
+    def _committed(self, node: Node, output: outputs.Committed) -> None:
         super()._committed(node, output)
         controller = self.controllers[node.address]
         controller.config_state = controller.control.own_value(output.value) or ConfigState.decode(
--- a/tests/gateway/programs/test_control_api.py
+++ b/tests/gateway/programs/test_control_api.py
@@ -57,7 +57,7 @@
     def __init__(self, *outcomes: str | None) -> None:
         self.now, self.leader = 100.0, "me"
         self.member: str | None = None
-        self.outcomes = list(outcomes or ["done"])
+        self.outcomes = list(outcomes or ["committed"])
         self.version, self.config_state = 0, ConfigState()
         self.out: list[tuple[int, bytes]] = []
         self.calls: list[Heartbeat | Deregistration] = []
@@ -93,7 +93,7 @@
             value,
             ConfigState.decode(value).document.routes,
         )  # type: ignore
-        if outcome == "done":
+        if outcome == "committed":
             self.version, self.config_state = self.version + 1, ConfigState.decode(value, self.config_state)
         self.control.proposed(self.now, token, outcome)
 
@@ -206,8 +206,8 @@
         await controller.send("PUT", CONFIG, config(9, 9))
     await until(lambda: len(controller.control.orders) == MAX_PENDING_ORDERS)
     await controller.call("too many", "PUT", CONFIG, config(3, 0, "c"))
-    controller.outcomes = ["done"]
-    controller.end("done")
+    controller.outcomes = ["committed"]
+    controller.end("committed")
     await first
     await second
     controller.outcomes = [None]
@@ -234,8 +234,8 @@
     second = await controller.held_back("on top of it", "PUT", CONFIG, config(7, 6, "d"))
     controller.tick(ORDER_PATIENCE_S + 0.1)
     assert not second.done()
-    controller.outcomes = ["done"]
-    controller.end("done")
+    controller.outcomes = ["committed"]
+    controller.end("committed")
     await first
     await second
     gone = await controller.held_back("and then another leads", "PUT", CONFIG, config(20, 15, "b"))
@@ -259,8 +259,8 @@
     await until(lambda: len(controller.control.orders) == 1)
     second.writer.close()
     await until(lambda: len(controller.http_listener.connections) == 1)
-    controller.outcomes = ["done"]
-    controller.end("done")
+    controller.outcomes = ["committed"]
+    controller.end("committed")
     await first
     assert controller.version == 2
     await controller.call("that was left, sent again", "PUT", CONFIG, config(5, 2, "a", "b"))
@@ -270,7 +270,7 @@
     both.writer.write(f"PUT {CONFIG} HTTP/1.1\r\nContent-Length: {len(config(7, 5))}\r\n\r\n".encode())
     both.writer.write(config(7, 5) + f"GET {CONFIG} HTTP/1.1\r\nConnection: close\r\n\r\n".encode())
     await until(lambda: len(controller.out) == 3)
-    controller.end("done")
+    controller.end("committed")
     said = [await both.answer(), await both.answer()]
     assert [json.loads(body)["generation"] for _, _, body in said] == [7, 7]  # in turn
     both.writer.close()
@@ -317,14 +317,14 @@
 
 
 SCENARIOS: dict[Callable[[SimulatedController], Awaitable[None]], tuple[str | None, ...]] = {
-    orders: ("done",),
-    elsewhere: ("done",),
-    refusals: ("refused", "done", "unknown", "done"),
+    orders: ("committed",),
+    elsewhere: ("committed",),
+    refusals: ("rejected", "committed", "unknown", "committed"),
     hung: (None,),
-    ahead: ("done",),
+    ahead: ("committed",),
     gone: (None,),
-    beats: ("done",),
-    too_large: ("done",),
+    beats: ("committed",),
+    too_large: ("committed",),
 }
 
 
@@ -365,7 +365,7 @@
         send(large[0])
         for body in large[1:] + large[:1]:
             send(body)
-        controller.end("done")
+        controller.end("committed")
         turns = [len(said)]
         while len(said) < 9:
             controller.tick(0.025)
--- a/tests/gateway/programs/test_control_connections.py
+++ b/tests/gateway/programs/test_control_connections.py
@@ -98,7 +98,7 @@
             self.control.proposed(
                 self.process.time(),
                 self.proposals[n % len(self.proposals)],
-                ("done", "refused", "unknown")[i % 3],
+                ("committed", "rejected", "unknown")[i % 3],
             )
         elif what == "again" and self.replies:  # control itself answers once
             self.replies[n % len(self.replies)](500, b"", b"")
--- a/tests/gateway/programs/test_order_retries.py
+++ b/tests/gateway/programs/test_order_retries.py
@@ -8,7 +8,7 @@
 
 from gateway.config import orders
 from gateway.config.orders import ConfigState, without_order_history
-from gateway.consensus import api
+from gateway.consensus import events
 from tests.gateway.consensus.consensus_cluster import InvariantViolation
 from tests.gateway.programs.controller_cluster import ControllerCluster, SimulatedController, explore
 
@@ -41,7 +41,7 @@
         del core.nodes[address]
         core.add(f"10.0.1.{n}:1")
         core.give(
-            core.nodes[f"10.0.1.{n}:1"], api.KnownAddresses(tuple(core.nodes))
+            core.nodes[f"10.0.1.{n}:1"], events.KnownAddresses(tuple(core.nodes))
         )  # which the rounds tell it
         core.run(6.0)
         core.propose(next(iter(core.nodes.values())), 0)
@@ -101,7 +101,7 @@
     class Hasty(SimulatedController):
         def propose(self, token: int, value: bytes, expected: int) -> None:
             super().propose(token, value, expected)
-            self.control.proposed(self.core.now, token, "done")
+            self.control.proposed(self.core.now, token, "committed")
 
     return Hasty
 
--- a/tests/gateway/test_compatibility.py
+++ b/tests/gateway/test_compatibility.py
@@ -12,8 +12,8 @@
 
 from gateway.config.orders import ConfigState
 from gateway.consensus import consensus_pb2
-from gateway.consensus.records import Member
-from gateway.consensus.storage import Store
+from gateway.consensus.entry import Member
+from gateway.consensus.store import Store
 from gateway.membership import membership_pb2
 from gateway.quota import quota_pb2
 from ingress.net.process_state import State
@@ -43,7 +43,7 @@
     stored = Store(str(folder)).load()
     assert stored is not None
     assert stored.disk == "first-10.1.0.1:7661"
-    assert (stored.term, stored.vote, stored.stretch) == (7, "disk-ab12", 2.0)
+    assert (stored.term, stored.vote, stored.timeout_scale) == (7, "disk-ab12", 2.0)
     assert (stored.entry.position, stored.entry.version) == ((7, 12), 5)
     assert stored.entry.members == MEMBERS and stored.entry.outgoing == MEMBERS[:2]
     assert stored.entry.value == (STORED / "value-form-2.bin").read_bytes()
--- a/tests/simulation/test_disk_loss_tolerance.py
+++ b/tests/simulation/test_disk_loss_tolerance.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from gateway.consensus.records import EMPTY_ENTRY, Entry, Member, PersistentState
+from gateway.consensus.entry import EMPTY_ENTRY, Entry, Member, PersistentState
 from simulation import disk_loss_tolerance
 
 A, B, C, D = (Member(x, f"10.0.0.{n}:1") for n, x in enumerate("abcd"))
 OLD = Entry(1, 3, 1, (A, B, C), (), b"old")
-NEW = OLD._replace(number=4, version=2, value=b"new")
-JOINT = OLD._replace(number=4, members=(A, B, D), outgoing=(A, B, C))
-SWAPPED = OLD._replace(number=5, members=(A, B, D))
+NEW = OLD._replace(log_index=4, version=2, value=b"new")
+JOINT = OLD._replace(log_index=4, members=(A, B, D), outgoing=(A, B, C))
+SWAPPED = OLD._replace(log_index=5, members=(A, B, D))
 
 
 @pytest.mark.parametrize(
