--- a/gateway/programs/controller_node.py
+++ b/gateway/programs/controller_node.py
@@ -22,7 +22,8 @@
 from gateway.programs.fleet_monitor import JSON, FleetMonitor
 from gateway.programs.quota_report import HolderReport
 from gateway.programs.startup import CONSENSUS, MEMBERSHIP, QUOTA
-from gateway.quota import interface as quota
+from gateway.quota import events as quota_events
+from gateway.quota import outputs as quota_outputs
 from gateway.quota.shard_assigner import ShardAssigner
 from gateway.quota.shard_owner import ShardOwner
 from gateway.runtime import config_events
@@ -142,8 +143,8 @@
 
     def on_quota_message(self, sender: Address, note: Any) -> None:
         """A message of the quota plane has arrived."""
-        event = quota.Received(sender, note)
-        if note.WhichOneof("kind") != "request":
+        event = quota_events.Received(sender, note)
+        if note.WhichOneof("kind") != "lease_request":
             return self.handle_quota(self.holder, event)
         self.publish_leadership(self.clock())
         self.handle_quota(self.shard_assigner, event)
@@ -186,7 +187,7 @@
         for out in machine.handle(self.clock(), event):
             if isinstance(out, Send):
                 self.driver.send(out.to, QUOTA, out.message)
-            elif isinstance(out, quota.PublishShardMap):
+            elif isinstance(out, quota_outputs.PublishShardMap):
                 self.handle_membership(
                     self.membership, membership.Publish(membership.SHARD_MAP, out.fencing_token, out.data)
                 )
@@ -234,8 +235,8 @@
         """Pass the tenants' rates and bursts of the document to the shard owner."""
         document = self.config_state.document
         if document is not None:
-            tenants = {t.label: (t.rate, t.burst) for t in document.tenants.values()}
-            self.handle_quota(self.holder, quota.Allowances(tenants))
+            tenants = {t.label: quota_events.RateLimit(t.rate, t.burst) for t in document.tenants.values()}
+            self.handle_quota(self.holder, quota_events.Allowances(tenants))
 
     def answer(self, http_call: HttpCall, reply: Reply) -> None:
         """Answer an HTTP call to `control`."""
@@ -258,14 +259,14 @@
         raft = self.raft
         self.publish_leadership(now)
         if raft.leader_role is not None:
-            self.handle_quota(self.shard_assigner, quota.Tick())
+            self.handle_quota(self.shard_assigner, quota_events.Tick())
             if raft.has_leader_lease(now):
                 self.publish_ingresses(now)
         self.fleet_monitor.tick(
             now, self.membership.log.quorate(now), lambda: dict(self.holder.windows.values())
         )
-        self.handle_quota(self.holder, quota.SetLeader(raft.leader))
-        self.handle_quota(self.holder, quota.Tick())
+        self.handle_quota(self.holder, quota_events.SetLeader(raft.leader))
+        self.handle_quota(self.holder, quota_events.Tick())
         self.holder_report.tick(now)
 
     def publish_leadership(self, now: float) -> None:
@@ -274,12 +275,12 @@
         leader_role = self.raft.leader_role
         term, since = (raft.term, raft.leaderless_since) if leader_role is not None else (0, None)
         self.handle_quota(
-            self.shard_assigner, quota.LeadershipChange(term, raft.has_leader_lease(now), since)
+            self.shard_assigner, quota_events.LeadershipChange(term, raft.has_leader_lease(now), since)
         )
         if leader_role is not None:
             live = [p.address for p in leader_role.peers.values() if now - p.last_heard_at < PEER_ALIVE_S]
             members = [m.address for m in raft.members]
-            self.handle_quota(self.shard_assigner, quota.LiveControllers((self.me, *live), members))
+            self.handle_quota(self.shard_assigner, quota_events.LiveControllers((self.me, *live), members))
 
     def publish_ingresses(self, now: float) -> None:
         """Publish the list of proxies when it changes, and in each term; at most every 0.5 s."""
--- a/gateway/programs/proxy_node.py
+++ b/gateway/programs/proxy_node.py
@@ -25,7 +25,7 @@
 from gateway.proxy.decisions import Decisions
 from gateway.proxy.ingress import ProxyIngress
 from gateway.proxy.retry_budget import RetryBudget
-from gateway.quota import interface as quota
+from gateway.quota import events as quota_events
 from gateway.quota.quota_client import QuotaClient
 from gateway.runtime import config_events
 from gateway.runtime.settings import Settings
@@ -106,7 +106,7 @@
 
     def on_quota_message(self, sender: Address, note: Any) -> None:
         """A message of the quota plane has arrived."""
-        self.handle_quota(quota.Received(sender, note))
+        self.handle_quota(quota_events.Received(sender, note))
 
     def send_quota_message(self, out: Send) -> None:
         """Send an output of the quota client."""
@@ -120,7 +120,7 @@
 
     async def leave_quota(self) -> None:
         """All requests are done: return the quota shares, until the owners know or were told often enough."""
-        self.handle_quota(quota.Leave())
+        self.handle_quota(quota_events.Leave())
         while not self.quota_client.has_left:
             await asyncio.sleep(LEAVE_POLL_S)
 
@@ -137,7 +137,7 @@
     def charge_due(self) -> None:
         """The timer of the quota client has fired."""
         self.charge_timer = None
-        self.handle_quota(quota.Tick())
+        self.handle_quota(quota_events.Tick())
 
     def handle_membership(self, event: Any) -> None:
         """Pass an input to the membership plane and carry out its outputs."""
@@ -177,7 +177,7 @@
         if news.kind == membership.INGRESSES:
             self.ingress.proxy_peers(self.me, self.zone, decode_ingresses(news.data))
         elif news.kind == membership.SHARD_MAP:
-            self.handle_quota(quota.ShardMap(news.data))
+            self.handle_quota(quota_events.ShardMapReceived(news.data))
         elif news.kind == membership.CONFIG:
             version = news.fencing_token[1]
             again = self.drift_monitor.refetching
@@ -200,8 +200,8 @@
             config_state.document, None if afresh else self.compiled_config
         )
         self.expected = ExpectedDigests(config_state.document, None if afresh else self.expected)
-        tenants = {t.label: (t.rate, t.burst) for t in compiled_config.tenants.values()}
-        self.handle_quota(quota.Allowances(tenants))
+        tenants = {t.label: quota_events.RateLimit(t.rate, t.burst) for t in compiled_config.tenants.values()}
+        self.handle_quota(quota_events.Allowances(tenants))
         limits = compiled_config.limits
         self.driver.limit(
             Limits(limits.max_header_bytes, limits.max_body_bytes, limits.header_timeout, limits.idle_timeout)
--- a/gateway/programs/quota_report.py
+++ b/gateway/programs/quota_report.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from gateway.drift.metrics import Metric
-from gateway.quota.decision_statistics import DECISION_KINDS, EDGES, SPLIT
+from gateway.quota.decision_statistics import BUCKET_EDGES, DECISION_LABELS, LATENCY_LABELS
 from gateway.quota.quota_client import QuotaClient
 from gateway.quota.shard_owner import ShardOwner
 from gateway.quota.view_audit import CounterComparison
@@ -67,24 +67,27 @@
         self.back = 0
 
     def changes(self, now: float) -> dict[str, Any]:
-        """`charged`: by tenant and precedence the counts by `DECISION_KINDS`; `times`: by `SPLIT` the counts
-        by number of the bucket; `back`: units refunded."""
+        """What has changed since the last record.
+
+        `charged`: by tenant and precedence the counts by `DECISION_LABELS`; `times`: by `LATENCY_LABELS` the
+        counts by number of the bucket; `back`: units refunded.
+        """
         statistics = self.quota_client.statistics
         charged = dict[str, dict[int, list[int]]]()
         for key, counts in statistics.decided.items():
             before = self.decided.get(key)
             if before != counts:
-                more = [n - b for n, b in zip(counts, before or [0] * len(DECISION_KINDS), strict=True)]
+                more = [n - b for n, b in zip(counts, before or [0] * len(DECISION_LABELS), strict=True)]
                 charged.setdefault(key[0], {})[key[1]] = more
                 self.decided[key] = list(counts)
-        back, self.back = statistics.back - self.back, statistics.back
+        back, self.back = statistics.refunded - self.back, statistics.refunded
         if not charged and not back:
             return {}
         times = {}
         for n, counts in enumerate(statistics.times):
             if self.times[n] != counts:
                 more = [c - b for c, b in zip(counts, self.times[n], strict=True)]
-                times[SPLIT[n]] = {k: c for k, c in enumerate(more) if c}
+                times[LATENCY_LABELS[n]] = {k: c for k, c in enumerate(more) if c}
                 self.times[n] = list(counts)
         return {"charged": charged, "times": times, "back": back}
 
@@ -100,7 +103,7 @@
                     "age-s": round(age, 3),
                     "share": round(share, 2),
                 }
-                for tenant, (remaining, age, allowance, share) in sorted(self.quota_client.view(now).items())
+                for tenant, (remaining, age, allowance, share) in sorted(self.quota_client.views(now).items())
                 if age < 1e8
             ]
         }
@@ -109,22 +112,22 @@
         """Counts by kind of decision, and histograms of the time in seconds that charging adds."""
         statistics = self.quota_client.statistics
         totals = [
-            sum(counts[n] for counts in statistics.decided.values()) for n in range(len(DECISION_KINDS))
+            sum(counts[n] for counts in statistics.decided.values()) for n in range(len(DECISION_LABELS))
         ]
         help = "Requests of limited tenants, by how they were decided."
         found = [
             Metric("charged_total", help, n, f'way="{way}"')
-            for way, n in zip(DECISION_KINDS, totals, strict=True)
+            for way, n in zip(DECISION_LABELS, totals, strict=True)
         ]
-        found.append(Metric("given_back_total", "Units given back.", statistics.back))
+        found.append(Metric("given_back_total", "Units given back.", statistics.refunded))
         name = "charge_seconds"
         help = "Time that the charge added to a request."
-        for way, counts, seconds in zip(SPLIT, statistics.times, statistics.seconds, strict=True):
+        for way, counts, seconds in zip(LATENCY_LABELS, statistics.times, statistics.seconds, strict=True):
             label = f'way="{way}"'
             sums = list(accumulate(counts))
             found += [
                 Metric(f"{name}_bucket", help, n, f'{label},le="{edge}"')
-                for edge, n in zip((*(f"{edge:.4g}" for edge in EDGES), "+Inf"), sums, strict=True)
+                for edge, n in zip((*(f"{edge:.4g}" for edge in BUCKET_EDGES), "+Inf"), sums, strict=True)
             ]
             found += [
                 Metric(f"{name}_sum", help, seconds, label),
@@ -143,14 +146,14 @@
 
     def compared(self, now: float) -> list[CounterComparison]:
         """Each tenant counted here, with all views of its counter."""
-        return self.holder.view_audit.compare(now, self.holder.view(now))
+        return self.holder.view_audit.compare(now, self.holder.counter_states(now))
 
     def changes(self, now: float) -> dict[str, Any]:
         """`held`: by tenant its allowance, remaining and reserved units, number of views, largest difference,
         most units by which a view is beyond what was said, and the oldest view's age in seconds. `gained`,
         `lost`: shards; `back`: units refunded."""
         view_audit = self.holder.view_audit
-        counts = view_audit.gained, view_audit.lost, view_audit.back
+        counts = view_audit.gained_shards, view_audit.lost_shards, view_audit.refunded
         gained, lost, back = (n - b for n, b in zip(counts, self.told, strict=True))
         self.told = counts
         held = {
@@ -159,7 +162,7 @@
                 round(c.remaining, 2),
                 round(c.reserved, 2),
                 len(c.views),
-                max((v.differs for v in c.views), default=0),
+                max((v.difference for v in c.views), default=0),
                 beyond(c),
                 round(max((v.age_s for v in c.views), default=0.0), 2),
             ]
@@ -179,7 +182,12 @@
                     "remaining": round(c.remaining, 2),
                     "kept": round(c.reserved, 2),
                     "views": [
-                        {"node": v.node, "view": v.remaining, "age-s": round(v.age_s, 3), "beyond": v.beyond}
+                        {
+                            "node": v.node,
+                            "view": v.remaining,
+                            "age-s": round(v.age_s, 3),
+                            "beyond": v.outside_by,
+                        }
                         for v in c.views
                     ],
                 }
@@ -206,19 +214,23 @@
             Metric(
                 "worst_difference_units",
                 "Largest difference of a view, old as it is, to what remains.",
-                max((v.differs for c in found for v in c.views), default=None),
+                max((v.difference for c in found for v in c.views), default=None),
             ),
             Metric(
                 "worst_disagreement_units",
                 "Units by which a view is beyond what was said in its time.",
                 max((beyond(c) for c in found), default=0),
             ),
-            Metric("given_back_total", "Units given back.", view_audit.back),
-            Metric("parts_gained_total", "Parts of the tenants, of 64, that came here.", view_audit.gained),
-            Metric("parts_lost_total", "Parts that went elsewhere, or whose lease ended.", view_audit.lost),
+            Metric("given_back_total", "Units given back.", view_audit.refunded),
+            Metric(
+                "parts_gained_total", "Parts of the tenants, of 64, that came here.", view_audit.gained_shards
+            ),
+            Metric(
+                "parts_lost_total", "Parts that went elsewhere, or whose lease ended.", view_audit.lost_shards
+            ),
         ]
 
 
 def beyond(c: CounterComparison) -> int:
     """The most units by which a view of a counter is outside of what its owner had said."""
-    return max((v.beyond or 0 for v in c.views), default=0)
+    return max((v.outside_by or 0 for v in c.views), default=0)
--- a/gateway/proxy/decisions.py
+++ b/gateway/proxy/decisions.py
@@ -13,9 +13,10 @@
 from gateway.proxy.refusals import Refusals
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.proxy.service import Service
-from gateway.quota import interface as quota
+from gateway.quota import events as quota_events
+from gateway.quota import outputs as quota_outputs
+from gateway.quota.protocol import attempt_number
 from gateway.quota.quota_client import QuotaClient
-from gateway.quota.window import attempt_number
 from ingress import interface as io
 from ingress.customer import Customer
 from ingress.flight import ActiveRequest
@@ -159,7 +160,7 @@
         number = attempt_number(r.id)
         self.waiting[number] = PendingCharge(flight, service)
         patience = min(CHARGE_PATIENCE_RATIO * route.target_latency, MAX_CHARGE_PATIENCE_S, r.expires_in)
-        self.handle_quota(now, quota.ChargeRequest(number, label, about.rank, patience))
+        self.handle_quota(now, quota_events.ChargeRequest(number, label, about.rank, patience))
 
     def service(self, now: float, name: str) -> Service:
         """The service of this name; a new one has no backends yet."""
@@ -189,19 +190,19 @@
     def handle_quota(self, now: float, item: Any) -> None:
         """Pass an input to the quota client, and carry out the verdicts that result."""
         for out in self.quota_client.handle(now, item):
-            if not isinstance(out, quota.ChargeDecision):
+            if not isinstance(out, quota_outputs.ChargeDecision):
                 self.acts.append(out)
-            elif out.id in self.waiting:
-                waiting = self.waiting.pop(out.id)
+            elif out.attempt_id in self.waiting:
+                waiting = self.waiting.pop(out.attempt_id)
                 if waiting is None:  # its client has disconnected meanwhile
-                    if out.verdict == "go":
-                        self.handle_quota(now, quota.Refund(out.id))
-                elif out.verdict == "go":
+                    if out.admitted:
+                        self.handle_quota(now, quota_events.Refund(out.attempt_id))
+                elif out.admitted:
                     self.charged.add(waiting.flight.req.id)
                     self.send_guarded(now, waiting.flight, waiting.service)
                 else:
-                    self.refusals.count(now, out.why)
-                    self.acts.append(OverQuota(waiting.flight.req.id, out.wait_s, out.why))
+                    self.refusals.count(now, out.reason)
+                    self.acts.append(OverQuota(waiting.flight.req.id, out.retry_after_s, out.reason))
 
     def send_on(self, now: float, f: ActiveRequest, s: Service) -> None:
         """Hand a request, which is within its allowance, to its service to be sent to a backend."""
@@ -280,7 +281,7 @@
         """Refund the unit of a request that never ran."""
         if request in self.charged:
             self.charged.discard(request)
-            self.handle_quota(now, quota.Refund(attempt_number(request)))
+            self.handle_quota(now, quota_events.Refund(attempt_number(request)))
 
     def give_up(self, now: float, f: ActiveRequest, wait: float) -> None:
         """Answer a request finally: with a refusal and a time to retry if it never ran, otherwise with a
--- a/gateway/proxy/refusals.py
+++ b/gateway/proxy/refusals.py
@@ -5,7 +5,7 @@
 import logging
 from collections import Counter
 
-from gateway.quota.interface import OVER_ALLOWANCE
+from gateway.quota.outputs import OVER_ALLOWANCE
 
 # requests of one second refused for other causes than their allowance: at least so many, and of all
 WARNING_MIN_COUNT = 5
--- a/gateway/quota/decision_statistics.py
+++ b/gateway/quota/decision_statistics.py
@@ -3,17 +3,31 @@
 from __future__ import annotations
 
 from bisect import bisect_right
+from enum import IntEnum
 
-from gateway.quota.interface import LOWEST_PRECEDENCE
+from gateway.quota.protocol import LOWEST_PRECEDENCE
 
-HOLDER, SHARE, OVER, REFUSED_LOCALLY, SHARE_EXHAUSTED = range(5)
-DECISION_KINDS = ("holder", "share", "over", "unasked", "short")
-"""Kinds of decision: admitted by the shard owner, or by the local share; refused by the owner, locally after
-the owner's verdict that nothing is left in the window, or because the share is exhausted or missing."""
 
-SPLIT = ("holder", "share", "refused")
-SPLIT_OF = (0, 1, 2, 2, 2)
-EDGES = tuple(0.00025 * 2 ** (k / 4) for k in range(41))
+class DecisionKind(IntEnum):
+    """How a request was decided."""
+
+    ADMITTED_BY_OWNER = 0
+    ADMITTED_BY_SHARE = 1
+    REJECTED_BY_OWNER = 2
+    REJECTED_LOCALLY = 3  # after the owner's verdict that nothing is left in the window
+    SHARE_EXHAUSTED = 4  # the owner didn't decide, and the local share is exhausted or missing
+
+
+DECISION_LABELS = ("holder", "share", "over", "unasked", "short")
+"""The kinds of decision as reports and metrics name them."""
+
+LATENCY_LABELS = ("holder", "share", "refused")
+"""Groups of decisions by which their times are counted."""
+
+LATENCY_GROUPS = (0, 1, 2, 2, 2)
+"""By kind of decision, its index in `LATENCY_LABELS`."""
+
+BUCKET_EDGES = tuple(0.00025 * 2 ** (k / 4) for k in range(41))
 """Bounds of the histogram's buckets in seconds: 0.25 ms to 256 ms, each 19% above the one before. A bucket
 holds the times below its edge; the last bucket, which has no edge, those beyond all."""
 
@@ -21,23 +35,24 @@
 class DecisionStatistics:
     """Counters that only grow.
 
-    `decided` has, by tenant and precedence, a counter for each of `DECISION_KINDS`; `times` and `seconds`
-    have, for each of `SPLIT`, the histogram of decision times and the sum of these times.
+    `decided` has, by tenant and precedence, a counter for each `DecisionKind`; `times` and `seconds` have,
+    for each of `LATENCY_LABELS`, the histogram of decision times and the sum of these times.
     """
 
     def __init__(self) -> None:
         self.decided: dict[tuple[str, int], list[int]] = {}
-        self.times = [[0] * (len(EDGES) + 1) for _ in SPLIT]
-        self.seconds = [0.0] * len(SPLIT)
-        self.back = 0  # units refunded
+        self.times = [[0] * (len(BUCKET_EDGES) + 1) for _ in LATENCY_LABELS]
+        self.seconds = [0.0] * len(LATENCY_LABELS)
+        self.refunded = 0  # units
 
-    def count(self, way: int, tenant: str, precedence: int, waited: float) -> None:
-        """Count a request that was decided as `way`, an index of `DECISION_KINDS`, after `waited` seconds."""
+    def count(self, kind: DecisionKind, tenant: str, precedence: int, waited_s: float) -> None:
+        """Count a request that was decided after `waited_s` seconds."""
         key = tenant, precedence if precedence < LOWEST_PRECEDENCE else LOWEST_PRECEDENCE
         counts = self.decided.get(key)
         if counts is None:
-            counts = self.decided[key] = [0] * len(DECISION_KINDS)
-        counts[way] += 1
-        split = SPLIT_OF[way]
-        self.times[split][bisect_right(EDGES, waited)] += 1
-        self.seconds[split] += waited
+            counts = [0] * len(DECISION_LABELS)
+            self.decided[key] = counts
+        counts[kind] += 1
+        group = LATENCY_GROUPS[kind]
+        self.times[group][bisect_right(BUCKET_EDGES, waited_s)] += 1
+        self.seconds[group] += waited_s
--- /dev/null
+++ b/gateway/quota/outputs.py
@@ -0,0 +1,41 @@
+"""Outputs of the quota plane's state machines."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from gateway.state_machine import Send
+
+OVER_ALLOWANCE = "over the allowance"
+"""Reason of a rejection: the tenant has used its allowance up."""
+
+
+class ChargeDecision(NamedTuple):
+    """The answer to a `ChargeRequest`.
+
+    A rejection has the seconds to wait before a retry, and its reason.
+    """
+
+    attempt_id: int
+    admitted: bool
+    retry_after_s: float = 0.0
+    reason: str = ""
+
+
+class FencingToken(NamedTuple):
+    """Orders grants and shard maps: by term, and within a term by number."""
+
+    term: int
+    number: int
+
+
+class PublishShardMap(NamedTuple):
+    """A new shard map for all quota clients, newer than any with a lower fencing token."""
+
+    fencing_token: FencingToken
+    data: bytes
+
+
+ClientOutput = Send | ChargeDecision
+OwnerOutput = Send
+AssignerOutput = Send | PublishShardMap
--- a/gateway/quota/owner_links.py
+++ b/gateway/quota/owner_links.py
@@ -6,46 +6,60 @@
 
 from google.protobuf.message import DecodeError
 
-from gateway.quota import quota_pb2 as pb
-from gateway.quota.interface import CLIENT_HEARTBEAT_S, SHARDS
+from gateway.quota.client_count import ClientCountBound
 from gateway.quota.local_quota import LocalQuota
-from gateway.quota.peers import Peers
-from gateway.quota.quota_pb2 import ClientHeartbeat, Message
+from gateway.quota.outputs import FencingToken
+from gateway.quota.protocol import CLIENT_HEARTBEAT_S, LONG_AGO, SHARDS, shard_of
+from gateway.quota.quota_pb2 import ClientHeartbeat, ClientHeartbeatReply, Message, ShardMap
 from gateway.state_machine import Address, Send
 
-SILENT_AFTER_MISSES = 2  # unanswered messages in a row after which an owner counts as silent
+MAX_MISSED_REPLIES = 2  # unanswered messages in a row after which an owner counts as unresponsive
 IDLE_HEARTBEAT_S = 1.0  # interval of heartbeats to an owner that gets charges all the time or gave no share
 LEAVE_RETRY_S = 0.08  # interval of messages to an owner that has not answered that this quota client leaves
-MAX_LEAVE_MESSAGES = 3  # such messages to each owner; one that gets none waits for the shares to expire
+MAX_LEAVE_ATTEMPTS = 3  # such messages to each owner; one that gets none waits for the shares to expire
 VIEW_REPORT_S = 5.0  # interval of heartbeats that report this quota client's views of the counts
 
 
 class OwnerLink:
-    """The state of the link to one shard owner."""
-
-    __slots__ = ("address", "heard", "misses", "number", "shards", "sent", "told", "told_at", "viewed_at")
+    """The state of the link to one shard owner. Times are seconds of the steady clock."""
+
+    __slots__ = (
+        "address",
+        "heartbeat_number",
+        "heartbeat_sent_at",
+        "last_heard_at",
+        "last_sent_at",
+        "missed_replies",
+        "shards",
+        "shares_reported",
+        "views_reported_at",
+    )
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.shards = 0
-        self.heard = -1e9
-        self.sent = -1e9
-        self.misses = 0
-        # number and time of the newest heartbeat
-        self.number = 0
-        self.told_at = -1e9
-        self.told = False  # whether the owner knows all shares in its shards
-        self.viewed_at = -1e9  # when views were last reported to it
+        self.shards = 0  # bitmask
+        self.last_heard_at = LONG_AGO
+        self.last_sent_at = LONG_AGO
+        self.missed_replies = 0
+        self.heartbeat_number = 0  # of the newest heartbeat
+        self.heartbeat_sent_at = LONG_AGO
+        self.shares_reported = False  # whether the owner knows all shares in its shards
+        self.views_reported_at = LONG_AGO
 
     @property
-    def silent(self) -> bool:
+    def is_unresponsive(self) -> bool:
         """Whether the owner has not answered lately."""
-        return self.misses >= SILENT_AFTER_MISSES
+        return self.missed_replies >= MAX_MISSED_REPLIES
+
+    def on_reply(self, now: float) -> None:
+        """The owner has sent a message."""
+        self.last_heard_at = now
+        self.missed_replies = 0
 
-    def missed(self, since: float) -> None:
-        """Note that a message sent at `since` has had no answer."""
-        if self.heard < since:
-            self.misses += 1
+    def on_no_reply(self, since: float) -> None:
+        """A message sent at `since` has had no answer, unless the owner was heard after it."""
+        if self.last_heard_at < since:
+            self.missed_replies += 1
 
 
 class OwnerLinks:
@@ -55,121 +69,143 @@
         self.incarnation = incarnation
         self.links: dict[Address, OwnerLink] = {}
         self.link_of_shard: list[OwnerLink | None] = [None] * SHARDS
-        self.fencing_token = (0, 0)
-        self.peers = Peers()  # quota clients that may have shares, as reported by owners
-        self.due = 0.0  # next check for owners that need a heartbeat
-        self.leaving: dict[Address, ClientHeartbeat] = {}  # last heartbeat to owners that haven't answered it
-        self.leave_messages = 0  # how often it was sent
+        self.fencing_token = FencingToken(0, 0)
+        self.client_count = ClientCountBound()  # quota clients that may have shares, as owners report it
+        self.next_check_at = 0.0  # for owners that need a heartbeat
+        self.unacknowledged_leaves: dict[Address, ClientHeartbeat] = {}  # last heartbeats, not answered yet
+        self.leave_attempts = 0  # how often they were sent
 
-    def follow(self, now: float, data: bytes) -> None:
+    def apply_shard_map(self, now: float, data: bytes) -> None:
         """Adopt a serialized shard map, unless it is malformed or a newer one is known."""
         try:
-            table = pb.ShardMap.FromString(data)
+            shard_map = ShardMap.FromString(data)
         except DecodeError:
             return
-        fencing_token = (table.term, table.number)
-        owners = list(table.owners)
-        if fencing_token <= self.fencing_token or len(table.owner_of_shard) != SHARDS:
+        fencing_token = FencingToken(shard_map.term, shard_map.number)
+        if fencing_token <= self.fencing_token or len(shard_map.owner_of_shard) != SHARDS:
             return
         self.fencing_token = fencing_token
+        owners = list(shard_map.owners)
         links = {address: self.links.get(address) or OwnerLink(address) for address in owners}
         shards = dict.fromkeys(owners, 0)
-        for part, index in enumerate(table.owner_of_shard):
+        for shard, index in enumerate(shard_map.owner_of_shard):
             address = owners[index] if index < len(owners) else None
-            self.link_of_shard[part] = links[address] if address is not None else None
+            self.link_of_shard[shard] = links[address] if address is not None else None
             if address is not None:
-                shards[address] |= 1 << part
+                shards[address] |= 1 << shard
         for address, link in links.items():
             if shards[address] & ~link.shards:
-                link.told = False
+                link.shares_reported = False
             link.shards = shards[address]
         self.links = links
-        self.due = now
+        self.next_check_at = now
 
-    def on_heartbeat_reply(self, now: float, link: OwnerLink, heard: pb.ClientHeartbeatReply) -> None:
+    def on_heartbeat_reply(self, now: float, link: OwnerLink, reply: ClientHeartbeatReply) -> None:
         """Take an owner's answer to a heartbeat."""
-        self.peers.learn(now, heard.peers, heard.silent_ms)
-        last = self.leaving.get(link.address)
-        if last is not None and heard.number == last.number:
-            del self.leaving[link.address]
-        link.told = not heard.missing & link.shards
+        self.client_count.update(now, reply.client_count, reply.last_heard_ms)
+        last = self.unacknowledged_leaves.get(link.address)
+        if last is not None and reply.number == last.number:
+            del self.unacknowledged_leaves[link.address]
+        link.shares_reported = not reply.unreported_shards & link.shards
 
     def tick(self, now: float, local_quotas: Iterable[LocalQuota]) -> list[Send]:
         """Send a heartbeat to each owner that needs one now."""
-        if now < self.due:
+        if now < self.next_check_at:
             return []
-        self.due = now + CLIENT_HEARTBEAT_S / 2
-        known = list(local_quotas)
-        live = [p for p in known if p.live(now)]
-        share_owners = {p.share_owner for p in live}
-        out = []
-        for link in self.links.values():
-            soon = (
-                CLIENT_HEARTBEAT_S
-                if not link.told or link.misses or link.address in share_owners
-                else IDLE_HEARTBEAT_S
-            )
-            if now >= link.sent + soon or now >= link.told_at + (
-                IDLE_HEARTBEAT_S if link.told else CLIENT_HEARTBEAT_S
-            ):
-                out.append(self.tell(now, link, live, known))
-        return out
+        self.next_check_at = now + CLIENT_HEARTBEAT_S / 2
+        quotas = list(local_quotas)
+        with_share = [quota for quota in quotas if quota.has_share(now)]
+        share_owners = {quota.share_owner for quota in with_share}
+        return [
+            self._heartbeat_to(now, link, with_share, quotas)
+            for link in self.links.values()
+            if _needs_heartbeat(now, link, gave_share=link.address in share_owners)
+        ]
 
     def leave(self, now: float, local_quotas: Iterable[LocalQuota]) -> list[Send]:
         """Return all shares, with the units admitted by them; the shares must not be used from now on."""
-        known = list(local_quotas)
-        live = [p for p in known if p.live(now)]
+        quotas = list(local_quotas)
+        with_share = [quota for quota in quotas if quota.has_share(now)]
         for link in self.links.values():
-            last = self.tell(now, link, live, known).message.client_heartbeat
+            last = self._heartbeat(now, link, with_share, quotas)
             last.leaving = True
             reported = {share.tenant for share in last.shares}
-            for local_quota in known:
-                if local_quota.spent and local_quota.number not in reported:
-                    last.shares.add(tenant=local_quota.number, spent=local_quota.spent)
-            self.leaving[link.address] = last
-        return self.repeat_leaving(now)
+            for quota in quotas:
+                if quota.spent and quota.number not in reported:
+                    last.shares.add(tenant=quota.number, spent=quota.spent)
+            self.unacknowledged_leaves[link.address] = last
+        return self.retry_leave(now)
 
-    def repeat_leaving(self, now: float) -> list[Send]:
+    def retry_leave(self, now: float) -> list[Send]:
         """Repeat the last heartbeat to the owners that have not answered it, up to a limit."""
-        self.due = now + LEAVE_RETRY_S
-        if self.leave_messages >= MAX_LEAVE_MESSAGES:
-            self.leaving = {}
-        self.leave_messages += 1
-        return [Send(address, Message(client_heartbeat=last)) for address, last in self.leaving.items()]
-
-    def tell(self, now: float, link: OwnerLink, live: list[LocalQuota], known: list[LocalQuota]) -> Send:
-        """The heartbeat to an owner, with this client's shares until the owner knows them, and at times its
-        views of the counts.
+        self.next_check_at = now + LEAVE_RETRY_S
+        if self.leave_attempts >= MAX_LEAVE_ATTEMPTS:
+            self.unacknowledged_leaves = {}
+        self.leave_attempts += 1
+        return [
+            Send(address, Message(client_heartbeat=last))
+            for address, last in self.unacknowledged_leaves.items()
+        ]
+
+    def _heartbeat_to(
+        self, now: float, link: OwnerLink, with_share: list[LocalQuota], quotas: list[LocalQuota]
+    ) -> Send:
+        return Send(link.address, Message(client_heartbeat=self._heartbeat(now, link, with_share, quotas)))
+
+    def _heartbeat(
+        self, now: float, link: OwnerLink, with_share: list[LocalQuota], quotas: list[LocalQuota]
+    ) -> ClientHeartbeat:
+        """The next heartbeat to an owner.
+
+        It has this client's shares until the owner knows them, and at times its views of the counts.
         """
-        link.missed(link.told_at)
-        link.number += 1
-        link.told_at = link.sent = now
-        client_heartbeat = ClientHeartbeat(incarnation=self.incarnation, number=link.number)
-        if link.silent:
-            client_heartbeat.hears_nothing = True
-        client_heartbeat.peers, silent_ms = self.peers.told(now)
-        client_heartbeat.silent_ms.extend(silent_ms)
-        if not link.told:
-            client_heartbeat.shards = link.shards
-            for local_quota in live:
-                if link.shards >> (local_quota.number % SHARDS) & 1:
-                    client_heartbeat.shares.add(
-                        tenant=local_quota.number,
-                        part=local_quota.share,
-                        spent=local_quota.spent,
-                        left_ms=int((local_quota.until - now) * 1000) + 1,
-                        accrues_in_ms=int(local_quota.accrues_from(now) * 1000),
-                    )
-        if now >= link.viewed_at + VIEW_REPORT_S:
-            for local_quota in known:
-                if (
-                    local_quota.remaining_at > link.viewed_at
-                    and link.shards >> (local_quota.number % SHARDS) & 1
-                ):
-                    client_heartbeat.views.add(
-                        tenant=local_quota.number,
-                        remaining=local_quota.remaining,
-                        age_ms=int((now - local_quota.remaining_at) * 1000),
-                    )
-            link.viewed_at = now
-        return Send(link.address, Message(client_heartbeat=client_heartbeat))
+        link.on_no_reply(link.heartbeat_sent_at)
+        link.heartbeat_number += 1
+        link.heartbeat_sent_at = now
+        link.last_sent_at = now
+        heartbeat = ClientHeartbeat(incarnation=self.incarnation, number=link.heartbeat_number)
+        if link.is_unresponsive:
+            heartbeat.owner_unresponsive = True
+        count = self.client_count.report(now)
+        heartbeat.client_count = count.total
+        heartbeat.last_heard_ms.extend(count.last_heard_ms)
+        if not link.shares_reported:
+            heartbeat.shards = link.shards
+            _add_shares(now, heartbeat, [quota for quota in with_share if _is_counted_by(quota, link)])
+        if now >= link.views_reported_at + VIEW_REPORT_S:
+            _add_views(now, heartbeat, link, quotas)
+            link.views_reported_at = now
+        return heartbeat
+
+
+def _is_counted_by(quota: LocalQuota, link: OwnerLink) -> bool:
+    return bool(link.shards >> shard_of(quota.number) & 1)
+
+
+def _needs_heartbeat(now: float, link: OwnerLink, gave_share: bool) -> bool:
+    is_urgent = not link.shares_reported or link.missed_replies or gave_share
+    send_interval_s = CLIENT_HEARTBEAT_S if is_urgent else IDLE_HEARTBEAT_S
+    heartbeat_interval_s = IDLE_HEARTBEAT_S if link.shares_reported else CLIENT_HEARTBEAT_S
+    return now >= link.last_sent_at + send_interval_s or now >= link.heartbeat_sent_at + heartbeat_interval_s
+
+
+def _add_shares(now: float, heartbeat: ClientHeartbeat, quotas: list[LocalQuota]) -> None:
+    for quota in quotas:
+        heartbeat.shares.add(
+            tenant=quota.number,
+            size=quota.share_size,
+            spent=quota.spent,
+            expires_in_ms=int((quota.share_expires_at - now) * 1000) + 1,
+            accrues_in_ms=int(quota.accrues_in_s(now) * 1000),
+        )
+
+
+def _add_views(now: float, heartbeat: ClientHeartbeat, link: OwnerLink, quotas: list[LocalQuota]) -> None:
+    """Add what has become known of the owner's counts since the last report."""
+    for quota in quotas:
+        if quota.remaining_known_at > link.views_reported_at and _is_counted_by(quota, link):
+            heartbeat.views.add(
+                tenant=quota.number,
+                remaining=quota.remaining,
+                age_ms=int((now - quota.remaining_known_at) * 1000),
+            )
--- a/gateway/quota/quota_client.py
+++ b/gateway/quota/quota_client.py
@@ -4,71 +4,56 @@
 
 import random
 from heapq import heappop, heappush
+from typing import NamedTuple, assert_never
 
-from gateway.quota.decision_statistics import (
-    HOLDER,
-    OVER,
-    REFUSED_LOCALLY,
-    SHARE,
-    SHARE_EXHAUSTED,
-    DecisionStatistics,
-)
-from gateway.quota.interface import (
-    FULL_SHARE,
-    LOWEST_PRECEDENCE,
-    OVER_ALLOWANCE,
-    SHARDS,
+from gateway.quota.decision_statistics import DecisionKind, DecisionStatistics
+from gateway.quota.events import (
     Allowances,
-    ChargeDecision,
     ChargeRequest,
-    Code,
+    ClientEvent,
     Leave,
     Received,
     Refund,
-    ShardMap,
+    ShardMapReceived,
     Tick,
 )
 from gateway.quota.local_quota import LocalQuota
+from gateway.quota.outputs import OVER_ALLOWANCE, ChargeDecision, ClientOutput
 from gateway.quota.owner_links import OwnerLink, OwnerLinks
+from gateway.quota.pending_charges import ChargeState, PendingCharge, PendingCharges
+from gateway.quota.protocol import FULL_SHARE, LOWEST_PRECEDENCE, VerdictCode, shard_of, tenant_number
 from gateway.quota.quota_pb2 import Charge, ChargeRefund, Message, Verdict
-from gateway.quota.window import plan, tenant_number
+from gateway.quota.window import plan
 from gateway.state_machine import Address, Send
 
-MAX_PENDING_CHARGES = 8192  # charges waiting for a verdict at once
-MAX_REMEMBERED_CHARGES = 32768  # charges in one generation
-REMEMBER_ANSWERED_S = 4.0  # a decided charge is remembered at least this long
-# bounds of the wait in a refusal
-MIN_RETRY_AFTER_S = 0.05
+MIN_RETRY_AFTER_S = 0.05  # bounds of the wait in a rejection
 MAX_RETRY_AFTER_S = 2.0
+FIRST_RETRY_DIVISOR = 3  # of a charge's timeout: after that part of it the charge is sent again
 
-Output = Send | ChargeDecision
-Input = ChargeRequest | Received | Tick | Refund | ShardMap | Allowances | Leave
-
-WAITING, COUNTED, SHARED, REFUSED = range(4)  # COUNTED: admitted by the owner; SHARED: by the local share
+# Why the owner didn't decide, in the reasons of rejections.
+NO_OWNER = "no shard owner"
+UNRESPONSIVE_OWNER = "shard owner unresponsive"
+COUNT_NOT_OPEN = "count not open"
+NO_VERDICT = "no verdict"
 
 
-class PendingCharge:
-    """A charge that waits for a verdict, or was decided lately."""
+class QuotaView(NamedTuple):
+    """What a quota client knows of a tenant's count.
 
-    __slots__ = ("ask_count", "link", "patience", "precedence", "local_quota", "sent", "state", "tries")
+    Units `remaining` by the newest verdict, the verdict's age in seconds, the allowance, and the own share in
+    units a window.
+    """
 
-    def __init__(
-        self, local_quota: LocalQuota, link: OwnerLink | None, now: float, patience: float, precedence: int
-    ) -> None:
-        self.local_quota = local_quota
-        self.link = link
-        self.sent = now
-        self.patience = patience
-        self.precedence = precedence
-        self.ask_count = 1
-        self.tries = 1
-        self.state = WAITING
+    remaining: int
+    age_s: float
+    allowance: float
+    share: float
 
 
 class QuotaClient:
     """State machine that charges a proxy's requests to their tenants' allowances. Needs a `Tick` at `due()`.
 
-    `span_s` is the window of the quota rule (quota-window-s); `rng` draws the incarnation and the thresholds
+    `span_s` is the window of the rule QUOTA (quota-window-s); `rng` draws the incarnation and the thresholds
     of the shares.
     """
 
@@ -76,256 +61,270 @@
         self.span_s = span_s
         self.rng = rng
         self.incarnation = rng.randrange(1, 1 << 32)
-        self.local_quotas: dict[str, LocalQuota] = {}
+        self.local_quotas: dict[str, LocalQuota] = {}  # by the tenant's label
         self.links = OwnerLinks(self.incarnation)
         self.statistics = DecisionStatistics()
-        self.pending: dict[int, PendingCharge] = {}  # waiting or decided lately; next, the generation before
-        self.previous_pending: dict[int, PendingCharge] = {}
-        self.rotate_at = 0.0
-        self.waiting = 0
+        self.charges = PendingCharges()
         self.leaving = False  # its shares are returned, and it takes no others
-        self.timers: list[tuple[float, int]] = []
-
-    def handle(self, now: float, input: Input) -> list[Output]:
-        """Process one input at steady time `now` (seconds); returns messages to send and decisions."""
-        if type(input) is ChargeRequest:
-            return self.ask(now, input)
-        if type(input) is Received:
-            return self.receive(now, input)
-        if type(input) is Tick:
-            return self.tick(now)
-        if type(input) is Refund:
-            return self.refund(input.id)
-        if type(input) is ShardMap:
-            self.links.follow(now, input.data)
-        elif type(input) is Allowances:
-            self.set_allowances(input)
-        elif type(input) is Leave and not self.leaving:
-            return self.leave(now)
-        return []
+        self.timers: list[tuple[float, int]] = []  # heap of times and attempts
+
+    def handle(self, now: float, event: ClientEvent) -> list[ClientOutput]:
+        """Process one event at steady time `now` (seconds); returns messages to send and decisions."""
+        match event:
+            case ChargeRequest():
+                return self._request_charge(now, event)
+            case Received(sender, message):
+                return self._receive(now, sender, message)
+            case Tick():
+                return self._tick(now)
+            case Refund(attempt_id):
+                return self._refund(attempt_id)
+            case ShardMapReceived(data):
+                self.links.apply_shard_map(now, data)
+                return []
+            case Allowances():
+                self._set_allowances(event)
+                return []
+            case Leave():
+                return [] if self.leaving else self._leave(now)
+            case _:
+                assert_never(event)
 
     @property
     def has_left(self) -> bool:
         """Whether each owner knows that this quota client leaves, or has been sent that often enough."""
-        return self.leaving and not self.links.leaving
-
-    def leave(self, now: float) -> list[Output]:
-        """Return the shares. Requests that still wait or come are refused, unless an owner admits them."""
-        self.leaving = True
-        outputs: list[Output] = [*self.links.leave(now, self.local_quotas.values())]
-        for local_quota in self.local_quotas.values():
-            local_quota.give_up_share()
-        return outputs
+        return self.leaving and not self.links.unacknowledged_leaves
 
     def due(self) -> float:
         """The steady time at which the next `Tick` is needed."""
-        due = self.links.due
+        due = self.links.next_check_at
         return min(self.timers[0][0], due) if self.timers else due
 
-    def view(self, now: float) -> dict[str, tuple[int, float, float, float]]:
-        """By tenant: units remaining by the newest verdict, the verdict's age in seconds, the allowance and
-        the own share in units a window.
-        """
-        out = {}
-        for label, p in self.local_quotas.items():
-            share = p.share * p.window.allowance / FULL_SHARE if p.live(now) else 0.0
-            out[label] = (p.remaining, now - p.remaining_at, p.window.allowance, share)
-        return out
+    def views(self, now: float) -> dict[str, QuotaView]:
+        """What is known of each tenant's count, by label."""
+        views = {}
+        for label, quota in self.local_quotas.items():
+            allowance = quota.window.allowance
+            share = quota.share_size * allowance / FULL_SHARE if quota.has_share(now) else 0.0
+            views[label] = QuotaView(quota.remaining, now - quota.remaining_known_at, allowance, share)
+        return views
+
+    def _leave(self, now: float) -> list[ClientOutput]:
+        """Return the shares. Requests that still wait or come are rejected, unless an owner admits them."""
+        self.leaving = True
+        outputs: list[ClientOutput] = [*self.links.leave(now, self.local_quotas.values())]
+        for local_quota in self.local_quotas.values():
+            local_quota.give_up_share()
+        return outputs
 
-    # Requests
+    # Requests.
 
-    def ask(self, now: float, ask: ChargeRequest) -> list[Output]:
+    def _request_charge(self, now: float, request: ChargeRequest) -> list[ClientOutput]:
         """Charge a request at its shard's owner, or decide at once if it has no limit or no owner answers."""
-        local_quota = self.local_quotas.get(ask.tenant)
+        local_quota = self.local_quotas.get(request.tenant)
         if local_quota is None:
-            return [ChargeDecision(ask.id, "go", 0.0)]
-        known = self.pending.get(ask.id)
-        if known is not None and known.state == WAITING:
-            known.ask_count += 1
+            return [ChargeDecision(request.attempt_id, admitted=True)]
+        known = self.charges.get_recent(request.attempt_id)
+        if known is not None and known.state is ChargeState.WAITING:
+            known.requests += 1
             return []
         if now < local_quota.exhausted_until:
-            local_quota.refuse(ask.precedence)
-            self.statistics.count(REFUSED_LOCALLY, ask.tenant, ask.precedence, 0.0)
-            return [
-                ChargeDecision(ask.id, "over", max(MIN_RETRY_AFTER_S, local_quota.ends - now), OVER_ALLOWANCE)
-            ]
-        if now >= self.rotate_at or len(self.pending) >= MAX_REMEMBERED_CHARGES:
-            self.rotate(now)
-        link = self.links.link_of_shard[local_quota.number % SHARDS]
-        out = self.pending[ask.id] = PendingCharge(local_quota, link, now, ask.patience_s, ask.precedence)
-        if link is None or link.silent or self.leaving or self.waiting >= MAX_PENDING_CHARGES:
-            why = "no holder" if link is None else "silent holder"
-            return self.by_share(now, ask.id, out, why)
-        self.waiting += 1
-        heappush(self.timers, (now + ask.patience_s / 3, ask.id))
-        return [self.charge(now, ask.id, out, link)]
-
-    def charge(self, now: float, id: int, out: PendingCharge, link: OwnerLink) -> Send:
+            return [self._reject_locally(now, request, local_quota)]
+        link = self.links.link_of_shard[shard_of(local_quota.number)]
+        charge = PendingCharge(local_quota, link, now, request.timeout_s, request.precedence)
+        self.charges.add(now, request.attempt_id, charge)
+        if link is None:
+            return self._decide_by_share(now, request.attempt_id, charge, NO_OWNER)
+        if link.is_unresponsive or self.leaving or not self.charges.has_room():
+            return self._decide_by_share(now, request.attempt_id, charge, UNRESPONSIVE_OWNER)
+        self.charges.waiting += 1
+        heappush(self.timers, (now + request.timeout_s / FIRST_RETRY_DIVISOR, request.attempt_id))
+        return [self._charge_message(now, request.attempt_id, charge, link)]
+
+    def _reject_locally(self, now: float, request: ChargeRequest, local_quota: LocalQuota) -> ChargeDecision:
+        """Reject a request without a charge: the owner has said that nothing is left in the window."""
+        local_quota.record_local_rejection(request.precedence)
+        self.statistics.count(DecisionKind.REJECTED_LOCALLY, request.tenant, request.precedence, 0.0)
+        retry_after_s = max(MIN_RETRY_AFTER_S, local_quota.window_ends_at - now)
+        return ChargeDecision(request.attempt_id, False, retry_after_s, OVER_ALLOWANCE)
+
+    def _charge_message(self, now: float, attempt_id: int, pending: PendingCharge, link: OwnerLink) -> Send:
         """The message that charges the request at the owner."""
-        local_quota = out.local_quota
-        charge = Charge(id=id, tenant=local_quota.number, incarnation=self.incarnation)
-        if out.precedence:
-            charge.precedence = out.precedence
+        local_quota = pending.local_quota
+        charge = Charge(id=attempt_id, tenant=local_quota.number, incarnation=self.incarnation)
+        if pending.precedence:
+            charge.precedence = pending.precedence
         if local_quota.share_owner == link.address:
-            charge.share = local_quota.part
-        elif local_quota.sent:
-            charge.held = True
+            charge.share_number = local_quota.share_number
+        elif local_quota.share_charged_at:
+            charge.had_other_share = True
         if local_quota.spent:
             charge.spent = local_quota.spent
-        if local_quota.refused:
-            charge.refused_locally = local_quota.refused.pop(min(out.precedence, LOWEST_PRECEDENCE), 0)
-            if now >= local_quota.ends:
-                charge.late = charge.refused_locally
-        link.sent = now
+        if local_quota.unreported_rejections:
+            level = min(pending.precedence, LOWEST_PRECEDENCE)
+            charge.refused_locally = local_quota.unreported_rejections.pop(level, 0)
+            if now >= local_quota.window_ends_at:
+                charge.refused_earlier = charge.refused_locally
+        link.last_sent_at = now
         return Send(link.address, Message(charge=charge))
 
-    def decide(
+    def _admit(
+        self, now: float, attempt_id: int, charge: PendingCharge, state: ChargeState, kind: DecisionKind
+    ) -> list[ClientOutput]:
+        """Admit a charge, by the owner or by the share; one decision for each request that waits for it."""
+        charge.state = state
+        self._count(now, charge, kind)
+        return [ChargeDecision(attempt_id, admitted=True)] * charge.requests
+
+    def _reject(
         self,
         now: float,
-        id: int,
-        out: PendingCharge,
-        state: int,
-        wait: float = 0.0,
-        decision: int = HOLDER,
-        why: str = "",
-    ) -> list[Output]:
-        """Decide a charge; returns one decision for each `ChargeRequest` of this id."""
-        out.state = state
-        for _ in range(out.ask_count):
-            self.statistics.count(decision, out.local_quota.label, out.precedence, now - out.sent)
-        if state == REFUSED:
-            charged = ChargeDecision(id, "over", min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait)), why)
-        else:
-            charged = ChargeDecision(id, "go", 0.0)
-        return [charged] * out.ask_count
-
-    def by_share(self, now: float, id: int, out: PendingCharge, why: str) -> list[Output]:
-        """Decide by the local share; `why` says why the owner didn't decide."""
-        return self.shared(now, id, out, out.local_quota.spend(now), why)
-
-    def shared(self, now: float, id: int, out: PendingCharge, wait: float, why: str) -> list[Output]:
-        """The same, once `LocalQuota.spend` has returned `wait`: 0 if it admits, else seconds to wait."""
-        if not wait:
-            return self.decide(now, id, out, SHARED, decision=SHARE)
-        share = "share spent" if out.local_quota.live(now) else "no share"
-        return self.decide(now, id, out, REFUSED, wait, SHARE_EXHAUSTED, f"{why}, {share}")
-
-    def refund(self, id: int) -> list[Output]:
+        attempt_id: int,
+        charge: PendingCharge,
+        kind: DecisionKind,
+        wait_s: float,
+        reason: str,
+    ) -> list[ClientOutput]:
+        """Reject a charge; one decision for each request that waits for it."""
+        charge.state = ChargeState.REJECTED
+        self._count(now, charge, kind)
+        retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
+        return [ChargeDecision(attempt_id, False, retry_after_s, reason)] * charge.requests
+
+    def _count(self, now: float, charge: PendingCharge, kind: DecisionKind) -> None:
+        for _ in range(charge.requests):
+            self.statistics.count(kind, charge.local_quota.label, charge.precedence, now - charge.sent_at)
+
+    def _decide_by_share(
+        self, now: float, attempt_id: int, charge: PendingCharge, reason: str
+    ) -> list[ClientOutput]:
+        """Decide by the local share; `reason` says why the owner didn't decide."""
+        wait_s = charge.local_quota.try_spend(now)
+        return self._decide_by_spent(now, attempt_id, charge, wait_s, reason)
+
+    def _decide_by_spent(
+        self, now: float, attempt_id: int, charge: PendingCharge, wait_s: float, reason: str
+    ) -> list[ClientOutput]:
+        """Decide by what `LocalQuota.try_spend` has returned: 0 if it admits, else seconds to wait."""
+        if not wait_s:
+            kind = DecisionKind.ADMITTED_BY_SHARE
+            return self._admit(now, attempt_id, charge, ChargeState.ADMITTED_BY_SHARE, kind)
+        share = "share spent" if charge.local_quota.has_share(now) else "no share"
+        kind = DecisionKind.SHARE_EXHAUSTED
+        return self._reject(now, attempt_id, charge, kind, wait_s, f"{reason}, {share}")
+
+    def _refund(self, attempt_id: int) -> list[ClientOutput]:
         """Refund the unit of a request that was admitted and has not run."""
-        out = self.pending.get(id) or self.previous_pending.get(id)
-        if out is None or out.state not in (COUNTED, SHARED):
+        charge = self.charges.get(attempt_id)
+        if charge is None:
             return []
-        shared = out.state == SHARED
-        out.state = REFUSED
-        self.statistics.back += 1
-        if shared:
-            out.local_quota.undo_spend()
+        former = charge.state
+        if former not in (ChargeState.ADMITTED_BY_OWNER, ChargeState.ADMITTED_BY_SHARE):
             return []
-        return self.give_back(id, out)
-
-    def give_back(self, id: int, out: PendingCharge) -> list[Output]:
-        """The message that refunds a unit at the owner."""
-        return (
-            [Send(out.link.address, Message(back=ChargeRefund(id=id, tenant=out.local_quota.number)))]
-            if out.link
-            else []
-        )
+        charge.state = ChargeState.REJECTED
+        self.statistics.refunded += 1
+        if former is ChargeState.ADMITTED_BY_SHARE:
+            charge.local_quota.undo_spend()
+            return []
+        return _refund_messages(attempt_id, charge)
 
-    # Messages
+    # Messages.
 
-    def receive(self, now: float, received: Received) -> list[Output]:
+    def _receive(self, now: float, sender: Address, message: Message) -> list[ClientOutput]:
         """Process a message of a shard owner."""
-        link = self.links.links.get(received.frm)
-        kind = received.note.WhichOneof("kind")
+        link = self.links.links.get(sender)
         if link is not None:
-            link.heard = now
-            link.misses = 0
-        if kind == "verdict":
-            return self.on_verdict(now, received.frm, link, received.note.verdict)
-        if kind == "heard" and link is not None:
-            self.links.on_heartbeat_reply(now, link, received.note.heard)
+            link.on_reply(now)
+        match message.WhichOneof("kind"):
+            case "verdict":
+                return self._on_verdict(now, sender, link, message.verdict)
+            case "client_heartbeat_reply" if link is not None:
+                self.links.on_heartbeat_reply(now, link, message.client_heartbeat_reply)
         return []
 
-    def on_verdict(self, now: float, frm: Address, link: OwnerLink | None, verdict: Verdict) -> list[Output]:
-        """Decide the request. If it was decided before, a late admission is corrected: the unit is refunded
-        at the owner if the request was refused, and returned to the share if the share admitted it.
-        """
-        id = verdict.id
-        code = verdict.code
-        out = self.pending.get(id) or self.previous_pending.get(id)
-        if out is None:
+    def _on_verdict(
+        self, now: float, sender: Address, link: OwnerLink | None, verdict: Verdict
+    ) -> list[ClientOutput]:
+        """Decide the request by an owner's verdict."""
+        charge = self.charges.get(verdict.id)
+        if charge is None:
             return []
-        if code <= Code.OVER and not self.leaving:  # once it leaves, it takes no shares
-            out.local_quota.note(now, frm, out.sent, verdict)
-        elif code == Code.NOT_YET:
+        if verdict.code <= VerdictCode.REJECTED and not self.leaving:  # once it leaves, it takes no shares
+            charge.local_quota.on_verdict(now, sender, charge.sent_at, verdict)
+        elif verdict.code == VerdictCode.NOT_OPEN:
             if link is not None:
-                link.told = False
-            out.local_quota.share_owner = None
-        if out.state == WAITING:
-            self.waiting -= 1
-            if code == Code.ADMITTED:
-                return self.decide(now, id, out, COUNTED)
-            if code == Code.OVER:
-                return self.decide(now, id, out, REFUSED, verdict.wait_ms / 1000, OVER, OVER_ALLOWANCE)
-            return self.by_share(now, id, out, "count not open")
-        if code == Code.ADMITTED:
-            if out.state == REFUSED:
-                self.statistics.back += 1
-                return self.give_back(id, out)
-            if out.state == SHARED:
-                out.state = COUNTED
-                out.local_quota.undo_spend()
+                link.shares_reported = False
+            charge.local_quota.share_owner = None
+        if charge.state is not ChargeState.WAITING:
+            return self._correct(verdict, charge)
+        self.charges.waiting -= 1
+        if verdict.code == VerdictCode.ADMITTED:
+            kind = DecisionKind.ADMITTED_BY_OWNER
+            return self._admit(now, verdict.id, charge, ChargeState.ADMITTED_BY_OWNER, kind)
+        if verdict.code == VerdictCode.REJECTED:
+            kind = DecisionKind.REJECTED_BY_OWNER
+            wait_s = verdict.window_ends_in_ms / 1000
+            return self._reject(now, verdict.id, charge, kind, wait_s, OVER_ALLOWANCE)
+        return self._decide_by_share(now, verdict.id, charge, COUNT_NOT_OPEN)
+
+    def _correct(self, verdict: Verdict, charge: PendingCharge) -> list[ClientOutput]:
+        """Correct for an admission that came after the request was decided.
+
+        The unit is refunded at the owner if the request was rejected, and returned to the share if the share
+        admitted it.
+        """
+        if verdict.code != VerdictCode.ADMITTED:
+            return []
+        if charge.state is ChargeState.REJECTED:
+            self.statistics.refunded += 1
+            return _refund_messages(verdict.id, charge)
+        if charge.state is ChargeState.ADMITTED_BY_SHARE:
+            charge.state = ChargeState.ADMITTED_BY_OWNER
+            charge.local_quota.undo_spend()
         return []
 
-    # Time
+    # Time.
 
-    def tick(self, now: float) -> list[Output]:
+    def _tick(self, now: float) -> list[ClientOutput]:
         """Repeat charges, decide those that waited long enough, and send heartbeats."""
-        outputs: list[Output] = []
-        timers = self.timers
-        while timers and timers[0][0] <= now:
-            id = heappop(timers)[1]
-            out = self.pending.get(id) or self.previous_pending.get(id)
-            if out is not None and out.state == WAITING:
-                outputs += self.late(now, id, out)
-        if now >= self.links.due and self.leaving:
-            outputs += self.links.repeat_leaving(now)
-        elif now >= self.links.due:
+        outputs: list[ClientOutput] = []
+        while self.timers and self.timers[0][0] <= now:
+            attempt_id = heappop(self.timers)[1]
+            charge = self.charges.get(attempt_id)
+            if charge is not None and charge.state is ChargeState.WAITING:
+                outputs += self._on_charge_timeout(now, attempt_id, charge)
+        if now >= self.links.next_check_at and self.leaving:
+            outputs += self.links.retry_leave(now)
+        elif now >= self.links.next_check_at:
             outputs += self.links.tick(now, self.local_quotas.values())
         return outputs
 
-    def late(self, now: float, id: int, out: PendingCharge) -> list[Output]:
-        """No verdict yet: repeat the charge, then decide by the share; if that is exhausted, repeat once more
-        and wait as long again.
+    def _on_charge_timeout(self, now: float, attempt_id: int, charge: PendingCharge) -> list[ClientOutput]:
+        """No verdict yet: repeat the charge, then decide by the share.
+
+        If the share is exhausted, the charge is repeated once more and waits as long again.
         """
-        out.tries += 1
-        link = out.link
-        silent = link is None or link.silent or self.leaving
-        if out.tries == 2 and link is not None and not silent:
-            heappush(self.timers, (out.sent + out.patience, id))
-            return [self.charge(now, id, out, link)]
+        charge.attempts += 1
+        link = charge.link
+        may_retry = link is not None and not link.is_unresponsive and not self.leaving
+        if charge.attempts == 2 and link is not None and may_retry:
+            heappush(self.timers, (charge.sent_at + charge.timeout_s, attempt_id))
+            return [self._charge_message(now, attempt_id, charge, link)]
         if link is not None:
-            link.missed(out.sent)
-        wait = out.local_quota.spend(now)
-        if wait and out.tries == 3 and link is not None and not silent:
-            heappush(self.timers, (out.sent + 2 * out.patience, id))
-            return [self.charge(now, id, out, link)]
-        self.waiting -= 1
-        return self.shared(now, id, out, wait, "no verdict")
-
-    def rotate(self, now: float) -> None:
-        """Start a new generation of charges, which drops those decided long ago."""
-        waiting = {id: out for id, out in self.previous_pending.items() if out.state == WAITING}
-        self.previous_pending = self.pending
-        self.pending = waiting
-        self.rotate_at = now + REMEMBER_ANSWERED_S
-
-    # Configuration
-
-    def set_allowances(self, input: Allowances) -> None:
+            link.on_no_reply(charge.sent_at)
+        wait_s = charge.local_quota.try_spend(now)
+        if wait_s and charge.attempts == 3 and link is not None and may_retry:
+            heappush(self.timers, (charge.sent_at + 2 * charge.timeout_s, attempt_id))
+            return [self._charge_message(now, attempt_id, charge, link)]
+        self.charges.waiting -= 1
+        return self._decide_by_spent(now, attempt_id, charge, wait_s, NO_VERDICT)
+
+    # Configuration.
+
+    def _set_allowances(self, event: Allowances) -> None:
         """Adopt the tenants' new allowances; shares stay the same part of them."""
         local_quotas = {}
-        for label, (rate, burst) in input.tenants.items():
+        for label, (rate, burst) in event.tenants.items():
             window = plan(rate, burst, self.span_s)
             if window is None:
                 continue
@@ -336,3 +335,11 @@
             local_quota.exhausted_until = 0.0
             local_quotas[label] = local_quota
         self.local_quotas = local_quotas
+
+
+def _refund_messages(attempt_id: int, charge: PendingCharge) -> list[ClientOutput]:
+    """The message that refunds a unit at the owner, if there is one."""
+    if charge.link is None:
+        return []
+    refund = ChargeRefund(id=attempt_id, tenant=charge.local_quota.number)
+    return [Send(charge.link.address, Message(refund=refund))]
--- a/simulation/allowance.py
+++ b/simulation/allowance.py
@@ -13,7 +13,7 @@
 
 from gateway.cli.nodes import columns
 from gateway.programs.quota_report import QUOTA_LOGGER
-from gateway.quota.decision_statistics import DECISION_KINDS, EDGES, HOLDER, SHARE, SPLIT
+from gateway.quota.decision_statistics import BUCKET_EDGES, DECISION_LABELS, LATENCY_LABELS, DecisionKind
 from simulation.log_lines import objects
 
 TIME = re.compile(r"(?<![\w.])(\d+(?:\.\d+)?)(?![\w.])")
@@ -50,9 +50,9 @@
 class Day(NamedTuple):
     """The aggregated lines of a day.
 
-    `decided` has, by tenant and precedence, a counter for each of `DECISION_KINDS`; `times`, by the names in
-    `SPLIT`, histograms of decision times; `course`, by steps of 5 s, counters for `DECISION_KINDS`; `back`,
-    likewise, refunded units.
+    `decided` has, by tenant and precedence, a counter for each of `DECISION_LABELS`; `times`, by the names in
+    `LATENCY_LABELS`, histograms of decision times; `course`, by steps of 5 s, counters for `DECISION_LABELS`;
+    `back`, likewise, refunded units.
     """
 
     decided: dict[tuple[str, int], list[int]]
@@ -83,8 +83,8 @@
     begin = found[0].at if found and found[0].at > 1e6 else 0.0
     day = Day(
         {},
-        {name: [0] * (len(EDGES) + 1) for name in SPLIT},
-        defaultdict(lambda: [0] * len(DECISION_KINDS)),
+        {name: [0] * (len(BUCKET_EDGES) + 1) for name in LATENCY_LABELS},
+        defaultdict(lambda: [0] * len(DECISION_LABELS)),
         Counter(),
         [],
         [],
@@ -104,7 +104,7 @@
     for tenant, levels in entry["charged"].items():
         for level, counts in levels.items():
             for total in (
-                day.decided.setdefault((tenant, int(level)), [0] * len(DECISION_KINDS)),
+                day.decided.setdefault((tenant, int(level)), [0] * len(DECISION_LABELS)),
                 day.course[step],
             ):
                 for n, count in enumerate(counts):
@@ -132,8 +132,8 @@
     passed = 0
     for bucket, count in enumerate(counts):
         if count and passed + count >= wanted:
-            low = EDGES[bucket - 1] if bucket else 0.0
-            high = EDGES[bucket] if bucket < len(EDGES) else EDGES[-1]
+            low = BUCKET_EDGES[bucket - 1] if bucket else 0.0
+            high = BUCKET_EDGES[bucket] if bucket < len(BUCKET_EDGES) else BUCKET_EDGES[-1]
             return low + (high - low) * (wanted - passed) / count
         passed += count
     return 0.0
@@ -141,10 +141,12 @@
 
 def table(day: Day) -> Table:
     """Requests asked, admitted and refused, by tenant and precedence, with late retries apart."""
-    rows: Table = [("tenant", "precedence", "asked", "admitted", "refused early", "in part", *DECISION_KINDS)]
+    rows: Table = [
+        ("tenant", "precedence", "asked", "admitted", "refused early", "in part", *DECISION_LABELS)
+    ]
     for (tenant, level), counts in sorted(day.decided.items()):
         asked = sum(counts)
-        admitted = counts[HOLDER] + counts[SHARE]
+        admitted = counts[DecisionKind.ADMITTED_BY_OWNER] + counts[DecisionKind.ADMITTED_BY_SHARE]
         rows.append(
             (
                 tenant,
--- a/simulation/allowance_report.py
+++ b/simulation/allowance_report.py
@@ -9,7 +9,7 @@
 import numpy as np
 from matplotlib import pyplot as plt
 
-from gateway.quota.decision_statistics import DECISION_KINDS, EDGES
+from gateway.quota.decision_statistics import BUCKET_EDGES, DECISION_LABELS
 from simulation import allowance
 from simulation.allowance import STEP_S, Day, Table
 from simulation.report import STYLE, picture
@@ -22,7 +22,7 @@
     figure, axes = plt.subplots(figsize=(11, 3.4))
     steps = sorted(day.course)
     floor = np.zeros(len(steps))
-    for n, (way, colour) in enumerate(zip(DECISION_KINDS, COLOURS, strict=True)):
+    for n, (way, colour) in enumerate(zip(DECISION_LABELS, COLOURS, strict=True)):
         height = np.array([day.course[step][n] for step in steps])
         axes.bar(steps, height, STEP_S * 0.9, floor, align="edge", label=way, color=colour)
         floor = floor + height
@@ -46,7 +46,7 @@
 def times(day: Day) -> str:
     """Plot of the cumulative distribution of the time that a charge takes."""
     figure, axes = plt.subplots(figsize=(11, 3.4))
-    edges = [1000 * e for e in (*EDGES, EDGES[-1] * 2)]
+    edges = [1000 * e for e in (*BUCKET_EDGES, BUCKET_EDGES[-1] * 2)]
     for name, counts in day.times.items():
         if total := sum(counts):
             axes.step(edges, np.cumsum(counts) / total, where="post", label=name)
--- a/simulation/capacity/agreement.py
+++ b/simulation/capacity/agreement.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from gateway.quota.decision_statistics import DECISION_KINDS
+from gateway.quota.decision_statistics import DECISION_LABELS
 from gateway.runtime.http_listener import HttpCall
 from simulation.capacity import design, documents
 from simulation.capacity.fleet import Fleet, FleetError, FleetSize
@@ -174,7 +174,7 @@
 
 
 class Region(NamedTuple):
-    """Decisions of a region's ingresses so far, by `DECISION_KINDS`, and how many of them are ready."""
+    """Decisions of a region's ingresses so far, by `DECISION_LABELS`, and how many of them are ready."""
 
     decided: tuple[int, ...]
     ready: int
@@ -242,7 +242,7 @@
         statistics = [i.proxy_node.quota_client.statistics for i in ingresses]
         decided = [
             sum(counts[n] for each in statistics for counts in each.decided.values())
-            for n in range(len(DECISION_KINDS))
+            for n in range(len(DECISION_LABELS))
         ]
         found[name] = Region(tuple(decided), sum(i.ready() for i in ingresses), len(ingresses))
     return found
@@ -255,7 +255,7 @@
     for name, region in after.items():
         parts = [n - b for n, b in zip(region.decided, before[name].decided, strict=True)]
         total = max(1, sum(parts))
-        for kind, part in zip(DECISION_KINDS, parts, strict=True):
+        for kind, part in zip(DECISION_LABELS, parts, strict=True):
             found.append(Sample(CUT_AXIS, mark, f"{name}: {kind}", "part", (part / total,)))
         ready = region.ready / region.ingresses
         found.append(Sample(CUT_AXIS, mark, f"{name}: ready", "part", (ready,)))
--- a/simulation/capacity/configuration.py
+++ b/simulation/capacity/configuration.py
@@ -16,7 +16,7 @@
 from gateway.config.routing import CompiledConfig
 from gateway.drift.live_check import LiveCheck
 from gateway.drift.quota_windows import Windows, expected_windows
-from gateway.quota import interface as quota
+from gateway.quota import events as quota_events
 from gateway.quota.quota_client import QuotaClient
 from gateway.quota.shard_owner import ShardOwner
 from simulation.capacity import design, documents
@@ -80,8 +80,9 @@
             f"{prefix}: compile the matchers", lambda: CompiledConfig(document, self.compiled_config)
         )
         expected = watch.run(f"{prefix}: digests", lambda: ExpectedDigests(document, self.expected))
-        tenants = {t.label: (t.rate, t.burst) for t in compiled_config.tenants.values()}
-        watch.run(f"{prefix}: allowances", lambda: self.quota_client.handle(0.0, quota.Allowances(tenants)))
+        tenants = {t.label: quota_events.RateLimit(t.rate, t.burst) for t in compiled_config.tenants.values()}
+        allowances = quota_events.Allowances(tenants)
+        watch.run(f"{prefix}: allowances", lambda: self.quota_client.handle(0.0, allowances))
         self.quota_windows = watch.run(
             f"{prefix}: planned quotas", lambda: expected_windows(document, QUOTA_SPAN_S)
         )
@@ -152,8 +153,8 @@
     document = _present(config_state.document)
     expected = watch.run("controller: digests", lambda: ExpectedDigests(document))
     shard_owner = ShardOwner(QUOTA_SPAN_S, random.Random(1))
-    tenants = {t.label: (t.rate, t.burst) for t in document.tenants.values()}
-    watch.run("controller: allowances", lambda: shard_owner.handle(0.0, quota.Allowances(tenants)))
+    tenants = {t.label: quota_events.RateLimit(t.rate, t.burst) for t in document.tenants.values()}
+    watch.run("controller: allowances", lambda: shard_owner.handle(0.0, quota_events.Allowances(tenants)))
     if with_memory:
         note("controller: memory", "MB", resident_mb() - before)
     note("configuration as JSON", "bytes", len(body))
--- a/simulation/capacity/fleet.py
+++ b/simulation/capacity/fleet.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 
-from gateway.quota import interface as quota
+from gateway.quota import events as quota_events
 from simulation.capacity import design
 from simulation.capacity.meter import Counts, LinkNetwork, Meter
 from simulation.model.deployment import Deployment
@@ -130,7 +130,7 @@
         if process.proxy_node.compiled_config is not None:
             self.charges += 1
             tenant = f"tenant-{self.rng.randrange(self.size.tenants)}"
-            charge = quota.ChargeRequest(self.rng.getrandbits(63), tenant, 1, CHARGE_PATIENCE_S)
+            charge = quota_events.ChargeRequest(self.rng.getrandbits(63), tenant, 1, CHARGE_PATIENCE_S)
             process.enter(process.proxy_node.handle_quota, charge)
 
     # Running.
--- a/simulation/capacity/former_names.py
+++ b/simulation/capacity/former_names.py
@@ -34,6 +34,10 @@
     RenamedKind("membership", "swap", "shuffle_request"),
     RenamedKind("membership", "swapped", "shuffle_reply"),
     RenamedKind("quota", "alive", "client_heartbeat"),
+    RenamedKind("quota", "heard", "client_heartbeat_reply"),
+    RenamedKind("quota", "back", "refund"),
+    RenamedKind("quota", "request", "lease_request"),
+    RenamedKind("quota", "hold", "lease_grant"),
 )
 RENAMED_STEPS: Final = {"inspector": "drift detector"}
 """Steps of putting a configuration in force: the last part of a figure's name."""
--- a/simulation/capacity/regions.py
+++ b/simulation/capacity/regions.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any, NamedTuple
 
-from gateway.quota.decision_statistics import EDGES, HOLDER, SHARE
+from gateway.quota.decision_statistics import BUCKET_EDGES, DecisionKind
 from simulation.capacity import design
 from simulation.capacity.agreement import Region, by_region, order, takes_orders
 from simulation.capacity.fleet import Fleet, FleetSize
@@ -118,7 +118,11 @@
 def admitted(before: Region, after: Region) -> float:
     """The part of the requests that were let go between two looks; 0 if there were none."""
     parts = [n - b for n, b in zip(after.decided, before.decided, strict=True)]
-    return (parts[HOLDER] + parts[SHARE]) / total if (total := sum(parts)) else 0.0
+    return (
+        (parts[DecisionKind.ADMITTED_BY_OWNER] + parts[DecisionKind.ADMITTED_BY_SHARE]) / total
+        if (total := sum(parts))
+        else 0.0
+    )
 
 
 def mean_charge(ingresses: Sequence[ProxyProcess]) -> float:
@@ -132,8 +136,8 @@
     times = [i.proxy_node.quota_client.statistics.times[0] for i in ingresses]
     counts = [sum(column) for column in zip(*times, strict=True)]
     left = PERCENTILE * sum(counts)
-    for edge, count in zip((*EDGES, EDGES[-1]), counts, strict=True):
+    for edge, count in zip((*BUCKET_EDGES, BUCKET_EDGES[-1]), counts, strict=True):
         left -= count
         if left <= 0:
             return edge
-    return EDGES[-1]
+    return BUCKET_EDGES[-1]
--- a/tests/gateway/proxy/proxy_fixture.py
+++ b/tests/gateway/proxy/proxy_fixture.py
@@ -18,7 +18,8 @@
 from gateway.proxy.ingress import ProxyIngress
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.quota import quota_pb2 as pb
-from gateway.quota.interface import SHARDS, Allowances, Code, Received, ShardMap
+from gateway.quota.events import Allowances, Received, ShardMapReceived
+from gateway.quota.protocol import SHARDS, VerdictCode
 from gateway.quota.quota_client import QuotaClient
 from gateway.state_machine import Send
 from ingress import interface as io
@@ -153,7 +154,7 @@
         self.loop = loop
         self.ingress.handle_quota(Allowances({"t1": (10.0, 10.0)}))
         places = pb.ShardMap(term=1, number=1, owners=[HOLDER], owner_of_shard=bytes(SHARDS))
-        self.ingress.handle_quota(ShardMap(places.SerializeToString()))
+        self.ingress.handle_quota(ShardMapReceived(places.SerializeToString()))
 
     def holder(self, out: Send) -> None:
         """Stands in for the one who counts: answers each charge alike."""
@@ -163,10 +164,10 @@
             verdict.CopyFrom(self.verdict)
             verdict.id = out.message.charge.id
             self.charges.append(verdict.id)
-            self.say("count", f"charge: {'over' if verdict.code == Code.OVER else 'go'}")
+            self.say("count", f"charge: {'over' if verdict.code == VerdictCode.REJECTED else 'go'}")
             if not self.silent:
                 self.loop.call_soon(self.ingress.handle_quota, Received(HOLDER, pb.Message(verdict=verdict)))
-        elif kind == "back":
+        elif kind == "refund":
             self.say("count", "one given back")
 
     def say(self, who: str, what: str) -> None:
--- a/tests/gateway/proxy/test_proxy.py
+++ b/tests/gateway/proxy/test_proxy.py
@@ -12,12 +12,13 @@
 from gateway.proxy.execution_status import ExecutionStatus
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.quota import quota_pb2 as pb
-from gateway.quota.interface import Code, Received
+from gateway.quota.events import Received
+from gateway.quota.protocol import VerdictCode
 from ingress import interface as io
 from tests.gateway.proxy.proxy_fixture import HOLDER, Act, ProxyFixture, answer, asked, full, reset, silent
 from tests.ingress.socket_rig import HOST, Client, run, until
 
-OVER = pb.Verdict(code=Code.OVER, wait_ms=700)
+OVER = pb.Verdict(code=VerdictCode.REJECTED, window_ends_in_ms=700)
 
 
 def strange(seen: Any) -> bytes:
--- a/tests/gateway/proxy/test_proxy_startup.py
+++ b/tests/gateway/proxy/test_proxy_startup.py
@@ -13,7 +13,7 @@
 from gateway.proxy.refusals import Refusals
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.proxy.service import Service
-from gateway.quota.interface import OVER_ALLOWANCE
+from gateway.quota.outputs import OVER_ALLOWANCE
 from ingress import interface as io
 from ingress.customer import Customer
 from ingress.flight import ActiveRequest
--- a/tests/gateway/quota/quota_network.py
+++ b/tests/gateway/quota/quota_network.py
@@ -9,8 +9,9 @@
 from itertools import count as counter
 from typing import Any
 
-from gateway.quota import interface as io
-from gateway.quota.interface import ChargeDecision, ChargeRequest, Received, Tick
+from gateway.quota import events
+from gateway.quota.events import ChargeRequest, Received, Tick
+from gateway.quota.outputs import ChargeDecision
 from gateway.quota.quota_client import QuotaClient
 from gateway.quota.shard_assigner import ShardAssigner
 from gateway.quota.shard_owner import ShardOwner
@@ -24,7 +25,7 @@
 
     def __init__(self, proxies: int, owners: int, tenants: dict[str, tuple[float, float]], seed: int):
         self.rng, self.now, self.seq = random.Random(seed), 0.0, counter()
-        self.allowances = io.Allowances(tenants)
+        self.allowances = events.Allowances(tenants)
         self.queue: list[tuple[float, int, Any]] = []
         self.owners: dict[str, ShardOwner] = {}
         self.quota_clients: dict[str, QuotaClient] = {}
@@ -53,14 +54,14 @@
         if name[0] == "p":
             self.owners[name] = ShardOwner(SPAN, rng)
             self.owners[name].handle(self.now, self.allowances)
-            self.owners[name].handle(self.now, io.SetLeader(self.leader or None))
+            self.owners[name].handle(self.now, events.SetLeader(self.leader or None))
             self.shard_assigner[name] = ShardAssigner()
             self.schedule(0.0, self.beat, name, self.owners[name])
         else:
             self.quota_clients[name] = c = QuotaClient(SPAN, rng)
             c.handle(self.now, self.allowances)
-            if self.leader in self.shard_assigner and self.shard_assigner[self.leader].table():
-                c.handle(self.now, io.ShardMap(self.shard_assigner[self.leader].table()))
+            if self.leader in self.shard_assigner and self.shard_assigner[self.leader].shard_map():
+                c.handle(self.now, events.ShardMapReceived(self.shard_assigner[self.leader].shard_map()))
             self.schedule(0.0, self.due, name, c)
 
     def kill(self, name: str) -> None:
@@ -71,7 +72,7 @@
     def leave(self, name: str) -> None:
         """A proxy whose requests are done ends in order, as its program does."""
         quota_client = self.quota_clients[name]
-        self.act(name, quota_client.handle(self.now, io.Leave()))
+        self.act(name, quota_client.handle(self.now, events.Leave()))
 
         def end() -> None:
             if self.quota_clients.get(name) is not quota_client:
@@ -87,13 +88,13 @@
         """Let a controller lead; an earlier leader stops."""
         self.term += 1
         for other, shard_assigner in self.shard_assigner.items():
-            shard_assigner.handle(self.now, io.LiveControllers(list(self.owners), self.names))
+            shard_assigner.handle(self.now, events.LiveControllers(list(self.owners), self.names))
             shard_assigner.handle(
-                self.now, io.LeadershipChange(self.term if other == name else 0, True, leaderless_since)
+                self.now, events.LeadershipChange(self.term if other == name else 0, True, leaderless_since)
             )
         self.leader = name
         for other, owner in self.owners.items():
-            self.act(other, owner.handle(self.now, io.SetLeader(name)))
+            self.act(other, owner.handle(self.now, events.SetLeader(name)))
 
     # Time and messages
 
@@ -110,8 +111,10 @@
         if self.owners.get(name) is owner:
             self.act(name, owner.handle(self.now, Tick()))
             if name == self.leader:
-                self.shard_assigner[name].handle(self.now, io.LiveControllers(list(self.owners), self.names))
-                if data := self.shard_assigner[name].table():
+                self.shard_assigner[name].handle(
+                    self.now, events.LiveControllers(list(self.owners), self.names)
+                )
+                if data := self.shard_assigner[name].shard_map():
                     self.publish(name, data)
             self.act(name, self.shard_assigner[name].handle(self.now, Tick()))
             self.schedule(0.1, self.beat, name, owner)
@@ -145,14 +148,16 @@
 
     def deliver_shard_map(self, to: str, data: bytes) -> None:
         if to in self.quota_clients:
-            self.quota_clients[to].handle(self.now, io.ShardMap(data))
+            self.quota_clients[to].handle(self.now, events.ShardMapReceived(data))
 
     def take(self, sender: str, to: str, note: Any) -> None:
         if to in self.quota_clients:
             self.act(to, self.quota_clients[to].handle(self.now, Received(sender, note)))
         elif to in self.owners:
             received = Received(sender, note)
-            machine = self.shard_assigner[to] if note.WhichOneof("kind") == "request" else self.owners[to]
+            machine = (
+                self.shard_assigner[to] if note.WhichOneof("kind") == "lease_request" else self.owners[to]
+            )
             self.act(to, machine.handle(self.now, received))
 
     # Requests
@@ -168,8 +173,8 @@
         return id
 
     def charged(self, name: str, o: ChargeDecision) -> None:
-        tenant, precedence = self.tenant_of.pop(o.id)
-        if o.verdict == "go":
+        tenant, precedence = self.tenant_of.pop(o.attempt_id)
+        if o.admitted:
             self.went[tenant].append(self.now)
         else:
             self.refused.append((self.now, tenant, name, precedence))
--- a/tests/gateway/quota/test_peers.py
+++ b/tests/gateway/quota/test_client_count.py
@@ -2,17 +2,19 @@
 
 from __future__ import annotations
 
-from gateway.quota.peers import LASTS_S, Peers
+from gateway.quota.client_count import SHARE_ENDS_AFTER_S, ClientCountBound
 from tests.gateway.quota.quota_network import QuotaNetwork
 
 
 def test_the_highest_bound_that_has_not_ended_counts() -> None:
-    peers = Peers()
-    peers.learn(100.0, 14, [4000, 9000])
-    assert [peers.count(at) for at in (100.0, 100.0 + LASTS_S - 8.9)] == [14, 13]
-    peers.learn(106.0, 10, [])  # another one has heard fewer of them
-    assert [peers.count(at) for at in (106.0, 100.0 + LASTS_S - 3.9, 100.0 + LASTS_S + 0.1)] == [13, 12, 10]
-    assert peers.count(106.0 + LASTS_S) == 0
+    peers = ClientCountBound()
+    peers.update(100.0, 14, [4000, 9000])
+    assert [peers.count(at) for at in (100.0, 100.0 + SHARE_ENDS_AFTER_S - 8.9)] == [14, 13]
+    peers.update(106.0, 10, [])  # another one has heard fewer of them
+    assert [
+        peers.count(at) for at in (106.0, 100.0 + SHARE_ENDS_AFTER_S - 3.9, 100.0 + SHARE_ENDS_AFTER_S + 0.1)
+    ] == [13, 12, 10]
+    assert peers.count(106.0 + SHARE_ENDS_AFTER_S) == 0
 
 
 def lost_one_after_another(seed: int, times: int = 5, rate: float = 30.0) -> QuotaNetwork:
@@ -28,7 +30,9 @@
     net.run(20.0)
     for n in range(times):
         at = net.now
-        gone = next((name for name, h in net.owners.items() if h.view(net.now)), next(iter(net.owners)))
+        gone = next(
+            (name for name, h in net.owners.items() if h.counter_states(net.now)), next(iter(net.owners))
+        )
         net.kill(gone)
         net.kill(f"s{n}")
         net.run(at + 0.6)
@@ -46,13 +50,13 @@
     """A shard owner that is named later keeps nothing back for it."""
     net = lost_one_after_another(1, times=1)
     net.run(net.now + 12.0)
-    name = next(name for name, owner in net.owners.items() if owner.view(net.now))
+    name = next(name for name, owner in net.owners.items() if owner.counter_states(net.now))
     net.kill(name)
     net.start(name)
     if name == net.leader:
         net.lead(next(iter(net.owners)))
     net.run(net.now + 4.0)
-    views = [owner.view(net.now) for owner in net.owners.values()]
+    views = [owner.counter_states(net.now) for owner in net.owners.values()]
     assert [view["calm"][2] for view in views if view] == [0.0]
 
 
--- a/tests/gateway/quota/test_client_shutdown.py
+++ b/tests/gateway/quota/test_client_shutdown.py
@@ -10,9 +10,9 @@
 
 from gateway.programs.proxy_node import ProxyNode
 from gateway.programs.startup import QUOTA
-from gateway.quota.interface import SHARDS, SHARE_S, Leave, Received
-from gateway.quota.interface import ShardMap as ShardMapInput
+from gateway.quota.events import Leave, Received, ShardMapReceived
 from gateway.quota.local_quota import LocalQuota
+from gateway.quota.protocol import SHARDS, SHARE_S
 from gateway.quota.quota_client import QuotaClient
 from gateway.quota.quota_pb2 import Charge, ClientHeartbeat, ClientHeartbeatReply, Message, ShardMap
 from gateway.runtime.settings import read_document
@@ -41,7 +41,9 @@
 
 def lose_owner(net: QuotaNetwork) -> None:
     """Kill the owner of the tenant's shard; another controller leads, and one at another address begins."""
-    gone = next((name for name, owner in net.owners.items() if owner.view(net.now)), next(iter(net.owners)))
+    gone = next(
+        (name for name, owner in net.owners.items() if owner.counter_states(net.now)), next(iter(net.owners))
+    )
     net.kill(gone)
     net.run(net.now + 0.6)
     if net.leader in net.dead:
@@ -74,7 +76,7 @@
 
 def owner_of(net: QuotaNetwork) -> str:
     """The controller that counts the tenant."""
-    return next(name for name, owner in net.owners.items() if owner.view(net.now))
+    return next(name for name, owner in net.owners.items() if owner.counter_states(net.now))
 
 
 @pytest.mark.parametrize("back", [True, False])
@@ -123,39 +125,39 @@
 def test_a_share_is_free_at_once_and_what_it_let_go_is_counted() -> None:
     net = loaded(3, 1, NORMAL)
     owner = net.owners[owner_of(net)]
-    (count,) = owner.counts.values()
-    before, admitted = count.shares["s0"].spent, count.admitted
+    (count,) = owner.counters.values()
+    before, admitted = count.shares.by_client["s0"].spent, count.admitted
     (local_quota,) = net.quota_clients["s0"].local_quotas.values()
-    assert local_quota.live(net.now) and count.shares["s0"].outstanding
+    assert local_quota.has_share(net.now) and count.shares.by_client["s0"].outstanding
     local_quota.spent += 2
     net.act("s0", net.quota_clients["s0"].handle(net.now, Leave()))
     net.run(net.now + 0.01)
-    share = count.shares["s0"]
+    share = count.shares.by_client["s0"]
     assert (share.outstanding, share.spent - before) == (0, 2) and count.admitted >= admitted + 2
     net.run(net.now + 1.0)
-    assert owner.view(net.now)["calm"][2] == 0.0 and "s0" not in owner.registry.silent
+    assert owner.counter_states(net.now)["calm"][2] == 0.0 and "s0" not in owner.registry.unresponsive
 
 
 def test_a_late_message_of_one_that_left_brings_no_share_back() -> None:
     net = loaded(3, 1, NORMAL)
     owner = net.owners[owner_of(net)]
-    (number, count), client = next(iter(owner.counts.items())), net.quota_clients["s0"]
+    (number, count), client = next(iter(owner.counters.items())), net.quota_clients["s0"]
     late = ClientHeartbeat(incarnation=client.incarnation, shards=client.links.links[owner_of(net)].shards)
-    late.shares.add(tenant=number, part=2000, left_ms=9000)
+    late.shares.add(tenant=number, size=2000, expires_in_ms=9000)
     charge = Charge(id=1, tenant=number, incarnation=client.incarnation)
     net.leave("s0")
     net.run(net.now + 0.3)
-    heard = owner.registry.clients["s0"].heard
+    heard = owner.registry.clients["s0"].last_heard_at
     for message in (Message(client_heartbeat=late), Message(charge=charge)):
         (answer,) = owner.handle(net.now, Received("s0", message))
-        assert not answer.message.verdict.share
+        assert not answer.message.verdict.share_number
     for id in range(2, 42):  # enough for a share of any other's
         net.run(net.now + 0.05)
         charge.id = id
         (answer,) = owner.handle(net.now, Received("s0", Message(charge=charge)))
-        assert not answer.message.verdict.share
-    assert "s0" not in count.shares or count.shares["s0"].outstanding == 0
-    assert owner.registry.clients["s0"].heard == heard
+        assert not answer.message.verdict.share_number
+    assert "s0" not in count.shares.by_client or count.shares.by_client["s0"].outstanding == 0
+    assert owner.registry.clients["s0"].last_heard_at == heard
 
 
 def test_an_earlier_incarnation_that_leaves_late_takes_nothing_from_the_next_one() -> None:
@@ -167,13 +169,13 @@
     net.run(net.now + 0.5)
     net.start("s0")
     net.run(net.now + 5.0)
-    (count,) = owner.counts.values()
-    outstanding = count.shares["s0"].outstanding
+    (count,) = owner.counters.values()
+    outstanding = count.shares.by_client["s0"].outstanding
     assert outstanding and owner.handle(net.now, Received("s0", Message(client_heartbeat=leave))) == []
     assert owner.handle(net.now, Received("s0", Message(charge=Charge(incarnation=leave.incarnation)))) == []
     leave.incarnation = 99  # one that was never heard
     assert owner.handle(net.now, Received("s0", Message(client_heartbeat=leave))) == []
-    assert count.shares["s0"].outstanding == outstanding
+    assert count.shares.by_client["s0"].outstanding == outstanding
 
 
 def test_lost_messages_leave_a_client_awaited_until_its_share_is_over() -> None:
@@ -182,9 +184,9 @@
     net.away = {"s0"}
     net.leave("s0")
     net.run(net.now + 2.0)
-    assert "s0" not in net.quota_clients and owner.view(net.now)["calm"][2] > 0.0
+    assert "s0" not in net.quota_clients and owner.counter_states(net.now)["calm"][2] > 0.0
     net.run(net.now + SHARE_S)
-    assert owner.view(net.now)["calm"][2] == 0.0
+    assert owner.counter_states(net.now)["calm"][2] == 0.0
 
 
 def test_one_that_begins_anew_has_no_untold_share() -> None:
@@ -193,7 +195,7 @@
     lose_owner(net)
     net.run(net.now + 3.5)
     owner = net.owners[owner_of(net)]
-    (number,) = owner.counts
+    (number,) = owner.counters
     assert not owner.has_unreported_shares(net.now, number % SHARDS)
     net.kill("s0")
     reborn = Charge(id=1, tenant=number, incarnation=77)
@@ -211,7 +213,9 @@
     def send(self, to: str, plane: int, message: Any) -> None:
         if plane == QUOTA:
             self.heard.append(message.client_heartbeat)
-            reply = Message(heard=ClientHeartbeatReply(number=message.client_heartbeat.number))
+            reply = Message(
+                client_heartbeat_reply=ClientHeartbeatReply(number=message.client_heartbeat.number)
+            )
             asyncio.get_running_loop().call_soon(self.proxy_node.on_quota_message, to, reply)
 
 
@@ -224,7 +228,7 @@
         upstream: Any = None
         node = driver.proxy_node = ProxyNode(driver, loop, loop.time, settings, upstream, random.Random(1))
         shard_map = ShardMap(term=1, number=1, owners=["10.1.0.1:7661"], owner_of_shard=bytes(SHARDS))
-        node.handle_quota(ShardMapInput(shard_map.SerializeToString()))
+        node.handle_quota(ShardMapReceived(shard_map.SerializeToString()))
         await node.leave_quota()
         assert node.charge_timer is not None
         node.charge_timer.cancel()
--- a/tests/gateway/quota/test_quota_plane.py
+++ b/tests/gateway/quota/test_quota_plane.py
@@ -22,7 +22,7 @@
 
 def held(net: QuotaNetwork, tenant: str) -> str:
     """The shard owner that counts a tenant."""
-    return next(name for name, owner in net.owners.items() if tenant in owner.view(net.now))
+    return next(name for name, owner in net.owners.items() if tenant in owner.counter_states(net.now))
 
 
 def refused(net: QuotaNetwork, tenant: str) -> float:
@@ -105,7 +105,7 @@
         net.start(name)
     net.run(33.0)
     assert net.most("hot") <= 63 * 6 + 20 and refused(net, "calm") == 0.0
-    assert net.quota_clients["s0"].view(net.now)["calm"][3] > 0
+    assert net.quota_clients["s0"].views(net.now)["calm"][3] > 0
 
 
 def test_losses_on_the_way() -> None:
@@ -163,8 +163,8 @@
 def test_what_each_quota_client_counts_is_near_what_the_shard_owner_counts() -> None:
     net = pressed(14, 8)
     net.run(14.0)
-    remaining, allowance, kept = net.owners[held(net, "calm")].view(net.now)["calm"]
-    views = [quota_client.view(net.now)["calm"] for quota_client in net.quota_clients.values()]
+    remaining, allowance, kept = net.owners[held(net, "calm")].counter_states(net.now)["calm"]
+    views = [quota_client.views(net.now)["calm"] for quota_client in net.quota_clients.values()]
     assert allowance == 100.0 and kept == 0.0
     assert all(abs(left - remaining) < 60 * (age + 0.2) or age > 0.5 for left, age, _, _ in views)
     assert sum(share for _, _, _, share in views) <= 100.0 + 1e-6
--- a/tests/gateway/quota/test_reserved_shares.py
+++ b/tests/gateway/quota/test_reserved_shares.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from gateway.quota.interface import FULL_SHARE
-from gateway.quota.tenant_counter import TenantCounter
+from gateway.quota.protocol import FULL_SHARE
+from gateway.quota.tenant_counter import ReportedShare, TenantCounter
 from gateway.quota.window import Window
 from tests.gateway.quota.quota_network import SPAN, QuotaNetwork
 
@@ -11,7 +11,7 @@
 def test_shares_that_a_count_lowers_are_not_kept_back() -> None:
     count = TenantCounter(100.0, Window(1.0, 60), 100.0, 1)
     for name in "ab":
-        count.told(100.1, name, FULL_SHARE // 2 - 400, 12.0, 0, 100.0)
+        count.on_share_reported(100.1, name, ReportedShare(FULL_SHARE // 2 - 400, 12.0, 0, 100.0))
     count.reserve({}, True)
     reserved = count.reserved
     assert round(reserved * FULL_SHARE / 60) == 800
@@ -19,12 +19,12 @@
         now = 100.5 + window
         count.begin_window(now)
         for id in range(40):
-            count.charge(now, count.shares["b"], 100 * window + id, 0, 0)
-        for name, share in list(count.shares.items()):
-            count.lease(now, name, share, share.number)
+            count.charge(now, count.shares.by_client["b"], 100 * window + id, 0, 0)
+        for name, share in list(count.shares.by_client.items()):
+            count.shares.renew(now, name, share, share.number)
         count.reserve({}, True)
-        assert count.reserved == reserved and count.outstanding <= FULL_SHARE - 800
-    assert count.shares["b"].part > FULL_SHARE // 2
+        assert count.reserved == reserved and count.shares.outstanding <= FULL_SHARE - 800
+    assert count.shares.by_client["b"].size > FULL_SHARE // 2
 
 
 def test_a_machine_lost_with_its_shard_owner_and_its_quota_client_costs_little() -> None:
@@ -32,7 +32,7 @@
     net.run(6.0)
     net.load("calm", 27.0, 40.0)
     net.run(15.0)
-    for name in (next(n for n, h in net.owners.items() if h.view(net.now)), "s3"):
+    for name in (next(n for n, h in net.owners.items() if h.counter_states(net.now)), "s3"):
         net.kill(name)
     if net.leader in net.dead:
         net.lead(next(iter(net.owners)))
--- a/tests/gateway/quota/test_state_machines.py
+++ b/tests/gateway/quota/test_state_machines.py
@@ -7,25 +7,24 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from gateway.quota.interface import (
-    ALL_SHARDS,
+from gateway.quota.events import (
     Allowances,
-    ChargeDecision,
     ChargeRequest,
     LeadershipChange,
     LiveControllers,
-    PublishShardMap,
     Received,
     Refund,
     SetLeader,
+    ShardMapReceived,
     Tick,
 )
-from gateway.quota.interface import ShardMap as ShardMapInput
+from gateway.quota.outputs import ChargeDecision, PublishShardMap
+from gateway.quota.protocol import ALL_SHARDS, attempt_number
 from gateway.quota.quota_client import QuotaClient
 from gateway.quota.quota_pb2 import LeaseGrant, LeaseRequest, Message, ShardMap
 from gateway.quota.shard_assigner import ShardAssigner
 from gateway.quota.shard_owner import ShardOwner
-from gateway.quota.window import attempt_number, plan
+from gateway.quota.window import plan
 from gateway.state_machine import Send
 
 TENANTS = Allowances({"a": (10.0, 10.0)})
@@ -39,7 +38,7 @@
         self.now, self.number, self.lost = 0.0, 0, False
         self.owner = ShardOwner(5.0, rng)
         self.quota_clients = {"s0": QuotaClient(5.0, rng), "s1": QuotaClient(5.0, rng)}
-        places = ShardMapInput(
+        places = ShardMapReceived(
             ShardMap(term=1, number=1, owners=["h"], owner_of_shard=bytes(64)).SerializeToString()
         )
         self.owner.handle(0.0, TENANTS)
@@ -57,12 +56,12 @@
             self.number += 1
             hold = LeaseGrant(
                 incarnation=self.owner.incarnation,
-                at=self.now,
+                request_sent_at=self.now,
                 term=1,
                 number=self.number,
                 shards=ALL_SHARDS,
             )
-            self.owner.handle(self.now, Received("p0", Message(hold=hold)))
+            self.owner.handle(self.now, Received("p0", Message(lease_grant=hold)))
             self.owner.handle(self.now, Tick())
             for name, quota_client in self.quota_clients.items():
                 if self.now >= quota_client.due():
@@ -83,11 +82,11 @@
     def ask(self, name: str, id: int, tenant: str = "a") -> str:
         """Ask for one request; the verdict, '' if there is none yet."""
         out = self.put(name, self.quota_clients[name].handle(self.now, ChargeRequest(id, tenant, 0, 0.09)))
-        return out[0].verdict if out else ""
+        return ("go" if out[0].admitted else "over") if out else ""
 
     def left(self) -> float:
         """Units that remain by the shard owner."""
-        return self.owner.view(self.now)["a"][0]
+        return self.owner.counter_states(self.now)["a"][0]
 
 
 def test_a_repeat_counts_once_wherever_it_is_charged() -> None:
@@ -125,7 +124,7 @@
         )
         out += pair.pass_time(0.04)
     out += pair.pass_time(0.2)
-    late = [charged for charged in out if charged.verdict == "go"]
+    late = [charged for charged in out if charged.admitted]
     assert 30 <= len(late) <= 50  # 5 a second, for 8 s
     pair.lost = False
     pair.pass_time(1.3)
@@ -136,7 +135,7 @@
     pair = OwnerWithClients()
     pair.lost = True
     assert pair.ask("s0", 1) == ""
-    assert [charged.verdict for charged in pair.pass_time(0.3)] == ["over"]
+    assert [charged.admitted for charged in pair.pass_time(0.3)] == [False]
     assert pair.ask("s0", 2, "unlimited") == "go"
 
 
@@ -146,7 +145,7 @@
     pair.now += 2.0
     assert pair.ask("s0", 2) == "over"  # no lease, no share
     pair.pass_time(0.9)
-    assert "a" not in pair.owner.view(pair.now)
+    assert "a" not in pair.owner.counter_states(pair.now)
     pair.pass_time(0.2)
     assert pair.ask("s0", 3) == "go"
 
@@ -189,9 +188,9 @@
             if type(o) is PublishShardMap:
                 table = ShardMap.FromString(o.data)
                 count = [table.owner_of_shard.count(i) for i in range(len(table.owners))]
-                self.lines.append(f"{now:5.2f} table {o.fencing_token} {list(table.owners)} {count}")
+                self.lines.append(f"{now:5.2f} table {tuple(o.fencing_token)} {list(table.owners)} {count}")
             else:
-                hold = o.message.hold
+                hold = o.message.lease_grant
                 self.seen[o.to] = hold.term, hold.number, hold.shards
                 self.lines.append(
                     f"{now:5.2f} -> {o.to} {hold.shards.bit_count()} parts, fence {hold.number}"
@@ -203,9 +202,13 @@
         held = held if shards is None else shards
         self.lines.append(f"{now:5.2f} {name} asks, holds {held.bit_count()}")
         request = LeaseRequest(
-            incarnation=self.incarnations.get(name, 1), at=now, term=term, number=number, shards=held
+            incarnation=self.incarnations.get(name, 1),
+            sent_at=now,
+            term=term,
+            number=number,
+            shards=held,
         )
-        self.do(now, Received(name, Message(request=request)))
+        self.do(now, Received(name, Message(lease_request=request)))
 
     def ticks(self, begin: float, end: float, *names: str) -> None:
         """Time passes; these ask each 0.6 s."""
@@ -308,11 +311,11 @@
             sender, o = outputs.pop(0)
             if type(o) is PublishShardMap or rng.random() < 0.2:
                 continue
-            if o.message.WhichOneof("kind") == "request":
+            if o.message.WhichOneof("kind") == "lease_request":
                 outputs += [("", x) for x in shard_assigner.handle(now, Received(sender, o.message))]
             elif now >= hung.get(o.to, 0.0):
                 owners[o.to].handle(now, Received("p0", o.message))
-        masks = [h.shards if now < h.until else 0 for h in owners.values()]
+        masks = [h.lease.shards if now < h.lease.expires_at else 0 for h in owners.values()]
         assert not (masks[0] & masks[1] | masks[0] & masks[2] | masks[1] & masks[2])
         held += sum(mask.bit_count() for mask in masks)
     assert held > 0.6 * 64 * 4000
--- a/tests/simulation/test_allowance.py
+++ b/tests/simulation/test_allowance.py
@@ -9,7 +9,7 @@
 from gateway.cli import allowance, commands, nodes
 from gateway.drift.metrics import render_metrics
 from gateway.programs.quota_report import QUOTA_LOGGER, QUOTA_METRIC_PREFIX, ChargerReport, HolderReport
-from gateway.quota.decision_statistics import EDGES, HOLDER, SHARE
+from gateway.quota.decision_statistics import BUCKET_EDGES, DecisionKind
 from gateway.quota.quota_pb2 import Message
 from gateway.runtime.log_ring import LogRing
 from simulation import allowance as simulation
@@ -100,11 +100,13 @@
     ]
     for tenant in TENANTS:
         ways = [sum(column) for column in zip(*(w for t, w in counts if t == tenant), strict=True)]
-        assert sum(ways) == net.asked[tenant] and ways[HOLDER] + ways[SHARE] == len(net.went[tenant])
+        assert sum(ways) == net.asked[tenant] and ways[DecisionKind.ADMITTED_BY_OWNER] + ways[
+            DecisionKind.ADMITTED_BY_SHARE
+        ] == len(net.went[tenant])
         assert all(ways) or tenant == "calm"
     assert sum(sum(t.values()) for n in changes for t in n["times"].values()) == net.asked.total()
-    waited = net.quota_clients["s0"].statistics.times[HOLDER]
-    assert sum(waited[: EDGES.index(0.008)]) > 0.5 * sum(waited)  # 2 to 8 ms a round trip
+    waited = net.quota_clients["s0"].statistics.times[DecisionKind.ADMITTED_BY_OWNER]
+    assert sum(waited[: BUCKET_EDGES.index(0.008)]) > 0.5 * sum(waited)  # 2 to 8 ms a round trip
 
 
 def test_figures_are_as_a_scraper_reads_them():
@@ -122,7 +124,7 @@
         for line in render_metrics(client_report.metrics(net.now)).decode().splitlines()
         if 'way="holder",le=' in line
     ]
-    assert len(buckets) == len(EDGES) + 1 and buckets == sorted(buckets) and buckets[-1] > 100
+    assert len(buckets) == len(BUCKET_EDGES) + 1 and buckets == sorted(buckets) and buckets[-1] > 100
 
 
 def test_a_day_is_put_together_from_lines_among_others():
