--- a/gateway/membership/backend_table.py
+++ b/gateway/membership/backend_table.py
@@ -1,82 +1,95 @@
-"""The backends as reported by several sources: for each its newest heartbeat, until no source holds it."""
+"""The backends as reported by several sources: for each its newest heartbeat, until no source leases it."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from math import inf
 
-from gateway.membership.messages import Backend, BackendAdded, BackendChanged, BackendRemoved
-from gateway.membership.wire import FINAL_SEQUENCE, EndRecord, LeaseRecord, Record, ReleaseRecord
+from gateway.membership.codec import FINAL_SEQUENCE, BackendRecord, EndRecord, LeaseRecord, ReleaseRecord
+from gateway.membership.outputs import BackendAdded, BackendChange, BackendChanged, BackendRemoved
+from gateway.membership.types import Backend
 from gateway.state_machine import Address
 
 TOMBSTONE_S = 30.0  # for which a backend's end is remembered, so that late records of it are recognized
 MAX_ROWS = 10_000  # of backends, and of tombstones
-PAUSE_S = 1.0  # more than this between two ticks: this process was paused, or couldn't receive
-COLD_TOLERANCE_S = 1.0  # smaller differences in the end of a slow start aren't significant
-
-BackendChange = BackendAdded | BackendChanged | BackendRemoved
+MAX_TICK_GAP_S = 1.0  # a longer one between two ticks: this process was paused, or couldn't receive
+SLOW_START_TOLERANCE_S = 1.0  # smaller differences in the end of a slow start aren't significant
+ORPHAN_GRACE_S = 6.0
 
 
 class BackendRow:
-    """A backend, and its `holders`: the sources that have it under lease, even if by an older heartbeat, as a
-    source that is cut off from that of the newest heartbeat may well receive its heartbeats again. Without
-    any holder it is an orphan, since `orphaned_at`."""
+    """A backend, and the sources that have it under lease.
+
+    These may have it by an older heartbeat, as a source that is cut off from that of the newest heartbeat may
+    well receive its heartbeats again. Without any it is an orphan, since `orphaned_at`.
+    """
 
-    __slots__ = ("backend", "holders", "orphaned_at")
+    __slots__ = ("backend", "lease_holders", "orphaned_at")
 
     def __init__(self, backend: Backend) -> None:
         self.backend = backend
+        self.lease_holders: set[Address] = set()
         self.orphaned_at = 0.0
-        self.holders: set[Address] = set()
 
 
 def is_significant(now: float, old: Backend, new: Backend) -> bool:
     """Whether a newer heartbeat of a backend says more than that it is alive."""
-    return old[1:7] != new[1:7] or abs(max(now, old.cold_until) - max(now, new.cold_until)) > COLD_TOLERANCE_S
+    old_state = (old.service, old.address, old.zone, old.generation, old.capacity, old.draining)
+    new_state = (new.service, new.address, new.zone, new.generation, new.capacity, new.draining)
+    if old_state != new_state:
+        return True
+    difference = max(now, old.slow_start_until) - max(now, new.slow_start_until)
+    return abs(difference) > SLOW_START_TOLERANCE_S
 
 
 class BackendTable:
-    """Merges the records of all sources. Orphans are removed after `grace` seconds without a holder; at most
-    `max_rows` backends, and as many tombstones, are kept. Times are steady seconds of this process."""
+    """Merges the records of all sources. Times are steady seconds of this process.
 
-    def __init__(self, grace: float = 6.0, max_rows: int = MAX_ROWS) -> None:
-        self.grace = grace
+    Orphans are removed after `grace_s` seconds; at most `max_rows` backends, and as many tombstones, are
+    kept.
+    """
+
+    def __init__(self, grace_s: float = ORPHAN_GRACE_S, max_rows: int = MAX_ROWS) -> None:
+        self.grace_s = grace_s
         self.max_rows = max_rows
         self.rows: dict[str, BackendRow] = {}
         self.tombstones: dict[str, EndRecord] = {}
-        self.by_address: dict[str, str] = {}
-        self.ticked: float | None = None
+        self.by_address: dict[Address, str] = {}
+        self.ticked_at: float | None = None
 
-    def record(self, now: float, source: Address, record: Record) -> list[BackendChange]:
+    def record(self, now: float, source: Address, record: BackendRecord) -> list[BackendChange]:
         """Apply a record of a source's log; returns what it changes."""
-        if isinstance(record, LeaseRecord):
-            return self._apply_lease(now, source, record)
-        if isinstance(record, EndRecord):
-            return self.ended(now, source, record.id, record.seq)
-        if isinstance(record, ReleaseRecord):
-            self._release(now, source, record.id)
-        return []
-
-    def snapshot(self, now: float, source: Address, records: Iterable[Record]) -> list[BackendChange]:
-        """Apply a snapshot of a source's log: what is not in it, the source no longer holds."""
-        still_held = set()
-        out = list[BackendChange]()
+        match record:
+            case LeaseRecord():
+                return self._apply_lease(now, source, record)
+            case EndRecord():
+                return self.end(now, source, record.id, record.seq)
+            case ReleaseRecord():
+                self._release(now, source, record.id)
+                return []
+
+    def snapshot(self, now: float, source: Address, records: Iterable[BackendRecord]) -> list[BackendChange]:
+        """Apply a snapshot of a source's log: of what is not in it, the source has no lease any more."""
+        leased: set[str] = set()
+        changes: list[BackendChange] = []
         for record in records:
             if isinstance(record, LeaseRecord) and not record.relay:
-                still_held.add(record.backend.id)
-            out += self.record(now, source, record)
-        self.release_all(now, source, still_held)
-        return out
-
-    def release_all(self, at: float, source: Address, still_held: Iterable[str] = ()) -> None:
-        """From the time `at` on, a source holds only the backends in `still_held`."""
-        still_held = set(still_held)
-        for id in [i for i, row in self.rows.items() if source in row.holders and i not in still_held]:
-            self._release(at, source, id)
-
-    def _release(self, at: float, source: Address, id: str) -> None:
-        row = self.rows.get(id)
-        if row is not None and source in row.holders:
-            row.holders.discard(source)
+                leased.add(record.backend.id)
+            changes += self.record(now, source, record)
+        self.release_all(now, source, leased)
+        return changes
+
+    def release_all(self, at: float, source: Address, still_leased: Iterable[str] = ()) -> None:
+        """From the time `at` on, a source has leases only on the backends in `still_leased`."""
+        kept = set(still_leased)
+        for backend_id in [i for i, row in self.rows.items() if source in row.lease_holders]:
+            if backend_id not in kept:
+                self._release(at, source, backend_id)
+
+    def _release(self, at: float, source: Address, backend_id: str) -> None:
+        row = self.rows.get(backend_id)
+        if row is not None and source in row.lease_holders:
+            row.lease_holders.discard(source)
             row.orphaned_at = max(row.orphaned_at, at)
 
     def _apply_lease(self, now: float, source: Address, record: LeaseRecord) -> list[BackendChange]:
@@ -89,87 +102,99 @@
             return []
         if row is not None and new.seq < row.backend.seq:
             if not record.relay:
-                row.holders.add(source)
+                row.lease_holders.add(source)
             return []
-        out = self._evict_address_owner(now, new)
-        if out is None:
+        changes = self._evict_address_owner(now, new)
+        if changes is None:
             return []
         if row is None:
             if len(self.rows) >= self.max_rows:
-                return out
-            row = self.rows[new.id] = BackendRow(new)
+                return changes
+            row = BackendRow(new)
+            self.rows[new.id] = row
             row.orphaned_at = now
-            out.append(BackendAdded(new))
+            changes.append(BackendAdded(new))
         elif new.seq > row.backend.seq:
-            new = new._replace(since=min(new.since, row.backend.since))
-            if new.address != row.backend.address:
-                self._forget_address(row.backend)
-            if is_significant(now, row.backend, new):
-                out.append(BackendChanged(new))
-            row.backend = new
-            row.orphaned_at = now
+            changes += self._update_row(now, row, new)
         self.by_address[new.address] = new.id
         if not record.relay:
-            row.holders.add(source)
-        return out
+            row.lease_holders.add(source)
+        return changes
+
+    def _update_row(self, now: float, row: BackendRow, heartbeat: Backend) -> list[BackendChange]:
+        """Apply a newer heartbeat of a known backend."""
+        former = row.backend
+        backend = heartbeat._replace(first_heard_at=min(heartbeat.first_heard_at, former.first_heard_at))
+        if backend.address != former.address:
+            self._forget_address(former)
+        row.backend = backend
+        row.orphaned_at = now
+        return [BackendChanged(backend)] if is_significant(now, former, backend) else []
 
     def _evict_address_owner(self, now: float, new: Backend) -> list[BackendChange] | None:
         """End the backend that had this address before; None if the other one is the newer one."""
         other = self.rows.get(self.by_address.get(new.address, new.id))
         if other is None or other.backend.id == new.id:
             return []
-        if other.backend.since > new.since:
+        if other.backend.first_heard_at > new.first_heard_at:
             return None
         self._add_tombstone(now, other.backend.id, other.backend.seq)
-        return self.drop(other.backend.id)
+        return self._remove(other.backend.id)
 
     def _forget_address(self, backend: Backend) -> None:
         if self.by_address.get(backend.address) == backend.id:
             del self.by_address[backend.address]
 
-    def ended(self, now: float, source: Address, id: str, seq: int) -> list[BackendChange]:
-        """A source says that a backend's heartbeats up to this call-seq are obsolete. Unless that is final,
-        sources that still hold a lease on it may have newer heartbeats: they have to end it themselves."""
-        self._add_tombstone(now, id, seq)
-        self._release(now, source, id)
-        row = self.rows.get(id)
-        is_over = row is not None and row.backend.seq <= seq and (seq >= FINAL_SEQUENCE or not row.holders)
-        return self.drop(id) if is_over else []
-
-    def _add_tombstone(self, now: float, id: str, seq: int) -> None:
-        tombstone = self.tombstones.get(id)
-        row = self.rows.get(id)
+    def end(self, now: float, source: Address, backend_id: str, seq: int) -> list[BackendChange]:
+        """A source says that a backend's heartbeats up to this call-seq are obsolete.
+
+        Unless that is final, sources that still have a lease on it may have newer heartbeats: they have to
+        end it themselves.
+        """
+        self._add_tombstone(now, backend_id, seq)
+        self._release(now, source, backend_id)
+        row = self.rows.get(backend_id)
+        if row is None or row.backend.seq > seq:
+            return []
+        is_over = seq >= FINAL_SEQUENCE or not row.lease_holders
+        return self._remove(backend_id) if is_over else []
+
+    def _add_tombstone(self, now: float, backend_id: str, seq: int) -> None:
+        tombstone = self.tombstones.get(backend_id)
         if tombstone is not None and seq <= tombstone.seq:
             return
         if tombstone is None and len(self.tombstones) >= self.max_rows:
             del self.tombstones[next(iter(self.tombstones))]
-        since = (
-            row.backend.since
-            if row is not None
-            else tombstone.since
-            if tombstone is not None
-            else float("inf")
-        )
-        self.tombstones[id] = EndRecord(id, seq, now + TOMBSTONE_S, since)
-
-    def drop(self, id: str) -> list[BackendChange]:
+        row = self.rows.get(backend_id)
+        first_heard_at = inf
+        if row is not None:
+            first_heard_at = row.backend.first_heard_at
+        elif tombstone is not None:
+            first_heard_at = tombstone.first_heard_at
+        self.tombstones[backend_id] = EndRecord(backend_id, seq, now + TOMBSTONE_S, first_heard_at)
+
+    def _remove(self, backend_id: str) -> list[BackendChange]:
         """Remove a backend from the table."""
-        self._forget_address(self.rows.pop(id).backend)
-        return [BackendRemoved(id)]
+        self._forget_address(self.rows.pop(backend_id).backend)
+        return [BackendRemoved(backend_id)]
 
     def tick(self, now: float, suspicions_known: bool) -> list[BackendChange]:
-        """Forget old tombstones, and remove orphans whose grace period is over. That period is suspended
-        while it can't be judged which sources are lost (`suspicions_known` is False), and while this process
-        was paused."""
-        passed = now - self.ticked if self.ticked is not None else 0.0
-        self.ticked = now
-        for id in [i for i, tombstone in self.tombstones.items() if tombstone.until <= now]:
-            del self.tombstones[id]
-        orphans = [(i, row) for i, row in self.rows.items() if not row.holders]
-        if not suspicions_known or passed > PAUSE_S:
+        """Forget old tombstones, and remove orphans whose grace period is over.
+
+        That period is suspended while it can't be judged which sources are lost (`suspicions_known` is
+        False), and while this process was paused.
+        """
+        passed = now - self.ticked_at if self.ticked_at is not None else 0.0
+        self.ticked_at = now
+        for backend_id in [i for i, tombstone in self.tombstones.items() if tombstone.until <= now]:
+            del self.tombstones[backend_id]
+        orphans = [(i, row) for i, row in self.rows.items() if not row.lease_holders]
+        if not suspicions_known or passed > MAX_TICK_GAP_S:
             for _, row in orphans:
                 row.orphaned_at = min(now, row.orphaned_at + passed)
             return []
-        return [
-            change for i, row in orphans if now - row.orphaned_at >= self.grace for change in self.drop(i)
-        ]
+        changes: list[BackendChange] = []
+        for backend_id, row in orphans:
+            if now - row.orphaned_at >= self.grace_s:
+                changes += self._remove(backend_id)
+        return changes
--- a/gateway/membership/controller.py
+++ b/gateway/membership/controller.py
@@ -4,56 +4,62 @@
 
 import random
 from collections.abc import Mapping, Sequence
-from typing import Any
+from typing import assert_never
 
-from gateway.membership import wire
+from gateway.membership import codec
 from gateway.membership.backend_table import BackendTable
 from gateway.membership.change_log import ChangeLog
-from gateway.membership.heartbeat_target import HeartbeatTargets
-from gateway.membership.leases import Leases
-from gateway.membership.log_follower import LogFollower
-from gateway.membership.log_follower import Update as LogUpdate
-from gateway.membership.messages import (
-    CONFIG,
-    CONTROLLER,
-    CORE,
-    Acknowledged,
-    BackendRemoved,
+from gateway.membership.codec import LeaseRecord, ValueRecord
+from gateway.membership.events import (
     ConfigApplied,
+    ControllerEvent,
     Deregistration,
     Heartbeat,
     Publish,
     Received,
-    RunningConfig,
     SetCore,
-    SetQuorate,
+    SetQuorumContact,
     SetSeeds,
     Tick,
-    Update,
 )
-from gateway.membership.peer_view import PeerView
-from gateway.membership.value_fetch import ValueFetcher, ValueStore
+from gateway.membership.heartbeat_target import HeartbeatTargets
+from gateway.membership.leases import Leases
+from gateway.membership.log_follower import LogFollower, LogUpdate
+from gateway.membership.membership_pb2 import Follow, Message
+from gateway.membership.outputs import (
+    Acknowledged,
+    BackendRemoved,
+    ControllerOutput,
+    RunningConfig,
+    ValueUpdated,
+)
+from gateway.membership.peer_view import DIGEST_BYTES, PeerView
+from gateway.membership.types import Role, ValueKind
+from gateway.membership.value_transfer import ValueFetcher, ValueStore
 from gateway.state_machine import Address
 
 
 class ControllerMembership:
     """The state machine of a controller, without I/O.
 
-    Inputs: `Received`, `Tick`, `SetCore` (this process included, if it is a member), `SetQuorate`,
-    `SetSeeds`, `Heartbeat`, `Deregistration`, `Publish`, `ConfigApplied`. Outputs: `Send`, `Acknowledged`,
-    `Rejected`, `BackendAdded`, `BackendChanged`, `BackendRemoved`, `Update`, `ConfigAdvertised`,
-    `CoreMembers`, `RunningConfig`.
+    Calls of backends are rejected unless this process is a member of the core, since the logs of other
+    processes aren't followed.
 
-    `heartbeat` is the interval of a backend's heartbeats in seconds, `zone` the number of this process's
-    zone, `zone_numbers` the numbers of all zones by their names. Calls of backends are rejected unless this
-    process is a member of the core, since the logs of other processes aren't followed."""
+    Args:
+        address: Of this process.
+        zone: The number of this process's zone.
+        seeds: Addresses of controllers.
+        heartbeat_interval_s: The interval of a backend's heartbeats.
+        rng: For the log's id, gossip, and targets of heartbeats.
+        zone_numbers: The numbers of all zones by their names.
+    """
 
     def __init__(
         self,
         address: Address,
         zone: int,
         seeds: Sequence[Address],
-        heartbeat: float,
+        heartbeat_interval_s: float,
         rng: random.Random,
         zone_numbers: Mapping[str, int] | None = None,
     ) -> None:
@@ -61,148 +67,157 @@
         self.log = ChangeLog(rng, zone)
         self.table = BackendTable()
         self.follower = LogFollower()
-        self.leases = Leases(self.log, self.table, address, heartbeat)
+        self.leases = Leases(self.log, self.table, address, heartbeat_interval_s)
         self.targets = HeartbeatTargets(address, zone, zone_numbers or {}, self.follower, rng)
         self.value_fetcher = ValueFetcher()
         self.value_store = ValueStore()
-        self.view = PeerView(address, CONTROLLER, zone, seeds, rng)
+        self.view = PeerView(address, Role.CONTROLLER, zone, seeds, rng)
 
-    def handle(self, now: float, event: Any) -> list[Any]:
-        """Handle an input; returns the outputs. Raises TypeError for an event that isn't one of the inputs.
-        `now` is in seconds of a steady clock."""
+    def handle(self, now: float, event: ControllerEvent) -> list[ControllerOutput]:
+        """Handle an event at `now` (seconds of a steady clock); returns the outputs."""
         position = self.log.position
-        out = self._handle(now, event)
+        outputs = self._handle(now, event)
         if self.log.position != position:
-            out += self.log.push(now)
-        return out
-
-    def _handle(self, now: float, event: Any) -> list[Any]:
-        if isinstance(event, Received):
-            return self._received(now, event.sender, event.note)
-        if isinstance(event, Tick):
-            return self._tick(now)
-        if isinstance(event, Heartbeat):
-            return self._heartbeat(now, event)
-        if isinstance(event, Deregistration):
-            return self._reconciled(now, self.leases.end(now, event))
-        if isinstance(event, Publish):
-            return self._publish(event)
-        if isinstance(event, SetCore):
-            return self._set_core(now, event.addresses)
-        if isinstance(event, ConfigApplied):
-            self.follower.report_running_config(now, event.version, int.from_bytes(event.digest), *event[2:])
-            return []
-        if isinstance(event, SetQuorate):
-            self.log.quorate_until = event.until
-            return []
-        if isinstance(event, SetSeeds):
-            self.view.set_seeds(event.addresses)
-            return []
-        raise TypeError(f"{type(event).__name__} is no input")
-
-    def _heartbeat(self, now: float, heartbeat: Heartbeat) -> list[Any]:
+            outputs += self.log.push(now)
+        return outputs
+
+    def _handle(self, now: float, event: ControllerEvent) -> list[ControllerOutput]:
+        match event:
+            case Received(sender, message):
+                return self._receive(now, sender, message)
+            case Tick():
+                return self._tick(now)
+            case Heartbeat():
+                return self._on_heartbeat(now, event)
+            case Deregistration():
+                return self._reconcile_removed(now, self.leases.on_deregistration(now, event))
+            case Publish():
+                self._publish(event)
+            case SetCore(addresses):
+                return self._set_core(now, addresses)
+            case ConfigApplied(version, digest, findings, finding):
+                number = int.from_bytes(digest)
+                self.follower.report_running_config(now, version, number, findings, finding)
+            case SetQuorumContact(until):
+                self.log.quorate_until = until
+            case SetSeeds(addresses):
+                self.view.set_seeds(addresses)
+            case _:
+                assert_never(event)
+        return []
+
+    def _on_heartbeat(self, now: float, heartbeat: Heartbeat) -> list[ControllerOutput]:
         """Handle a backend's heartbeat; one that is acknowledged at once gets a target for the next ones."""
-        out = self._reconciled(now, self.leases.heartbeat(now, heartbeat))
-        if heartbeat.draining or Acknowledged(heartbeat.token) not in out:
-            return out
+        outputs = self._reconcile_removed(now, self.leases.on_heartbeat(now, heartbeat))
+        acknowledged = Acknowledged(heartbeat.token)
+        if heartbeat.draining or acknowledged not in outputs:
+            return outputs
         target = self.targets.choose(now, heartbeat.id, heartbeat.zone, self.leases.core)
-        out[out.index(Acknowledged(heartbeat.token))] = Acknowledged(heartbeat.token, target)
-        return out
-
-    def _received(self, now: float, sender: Address, note: Any) -> list[Any]:
-        kind = note.WhichOneof("kind")
-        if kind == "follow":
-            out: list[Any] = list(self.log.followed(now, sender, note.follow))
-            if (f := note.follow).version:
-                out.append(RunningConfig(sender, f.version, f.digest.to_bytes(8), f.findings, f.finding))
-            return [*out, *self.leases.confirmed()] if self.leases.waiting else out
-        if kind == "answer":
-            out, log_update = self.follower.answered(now, sender, note.answer)
-            return [*out, *self._apply_log_update(now, log_update)] if log_update else list(out)
-        if kind == "value":
-            return self._apply_updates(self.value_fetcher.value(note.value))
-        if kind == "ask":
-            return list(self.value_store.asked(sender, note.ask))
-        if kind in ("shuffle_request", "shuffle_reply"):
-            shuffle_request = note.shuffle_request if kind == "shuffle_request" else note.shuffle_reply
-            return list(self.view.received(now, sender, shuffle_request, kind == "shuffle_reply"))
+        outputs[outputs.index(acknowledged)] = Acknowledged(heartbeat.token, target)
+        return outputs
+
+    def _receive(self, now: float, sender: Address, message: Message) -> list[ControllerOutput]:
+        match message.WhichOneof("kind"):
+            case "follow":
+                return self._on_follow(now, sender, message.follow)
+            case "follow_reply":
+                sends, update = self.follower.on_follow_reply(now, sender, message.follow_reply)
+                return [*sends, *(self._apply_log_update(now, update) if update else ())]
+            case "value":
+                return self._apply_values(self.value_fetcher.on_value(message.value))
+            case "value_request":
+                return [*self.value_store.on_request(sender, message.value_request)]
+            case "shuffle_request":
+                return [*self.view.on_shuffle_request(sender, message.shuffle_request)]
+            case "shuffle_reply":
+                return [*self.view.on_shuffle_reply(sender, message.shuffle_reply)]
         return []
 
-    def _apply_log_update(self, now: float, log_update: LogUpdate) -> list[Any]:
+    def _on_follow(self, now: float, sender: Address, follow: Follow) -> list[ControllerOutput]:
+        """A follower's heartbeat: it may confirm changes, and report its running configuration."""
+        outputs: list[ControllerOutput] = [*self.log.on_follow(now, sender, follow)]
+        if follow.version:
+            digest = follow.digest.to_bytes(DIGEST_BYTES)
+            config = RunningConfig(sender, follow.version, digest, follow.findings, follow.finding)
+            outputs.append(config)
+        if self.leases.pending_calls:
+            outputs += self.leases.confirmed_calls()
+        return outputs
+
+    def _apply_log_update(self, now: float, update: LogUpdate) -> list[ControllerOutput]:
         """Apply an update of another controller's log, and bring the own log in line with it."""
-        backends = [r for r in log_update.records if not isinstance(r, wire.ValueRecord)]
-        if log_update.snapshot:
-            out: list[Any] = list(self.table.snapshot(now, log_update.source, backends))
+        backends = [r for r in update.records if not isinstance(r, ValueRecord)]
+        outputs: list[ControllerOutput] = []
+        if update.snapshot:
+            outputs += self.table.snapshot(now, update.source, backends)
         else:
-            out = [change for r in backends for change in self.table.record(now, log_update.source, r)]
+            for record in backends:
+                outputs += self.table.record(now, update.source, record)
         for record in backends:
-            id = record.backend.id if isinstance(record, wire.LeaseRecord) else record.id
-            out += self.leases.reconcile(now, id)
-        out = self._reconciled(now, out)
-        for value_record in log_update.records:
-            if (
-                isinstance(value_record, wire.ValueRecord) and value_record.kind != CONFIG
-            ):  # configurations come by consensus
-                if value_record.data is not None:
-                    out += self._apply_updates(
-                        self.value_fetcher.accept(
-                            value_record.kind,
-                            value_record.fencing_token,
-                            value_record.data,
-                            value_record.digest,
-                        )
-                    )
-                else:
-                    out += self.value_fetcher.add_source(
-                        now, value_record.kind, value_record.fencing_token, log_update.source, 0.0
-                    )
-        return out
-
-    def _reconciled(self, now: float, outputs: Sequence[Any]) -> list[Any]:
+            backend_id = record.backend.id if isinstance(record, LeaseRecord) else record.id
+            outputs += self.leases.reconcile(now, backend_id)
+        outputs = self._reconcile_removed(now, outputs)
+        for value in update.records:
+            # Configurations come by consensus.
+            if isinstance(value, ValueRecord) and value.kind != ValueKind.CONFIG:
+                outputs += self._apply_value_record(now, update.source, value)
+        return outputs
+
+    def _apply_value_record(self, now: float, source: Address, record: ValueRecord) -> list[ControllerOutput]:
+        if record.data is None:
+            fetch = self.value_fetcher.add_source(now, record.kind, record.fencing_token, source, 0.0)
+            return [*fetch]
+        return self._apply_values(
+            self.value_fetcher.accept(record.kind, record.fencing_token, record.data, record.digest)
+        )
+
+    def _reconcile_removed(self, now: float, outputs: Sequence[ControllerOutput]) -> list[ControllerOutput]:
         """After backends were removed: end their leases, and record that in the own log."""
-        out: list[Any] = list(outputs)
+        reconciled: list[ControllerOutput] = list(outputs)
         for output in outputs:
             if isinstance(output, BackendRemoved):
-                out += self.leases.reconcile(now, output.id)
-        return out
-
-    def _apply_updates(self, updates: list[Update]) -> list[Any]:
-        """Output updates from others, and publish them in the own log too, except configurations."""
-        for item in updates:
-            if item.kind != CONFIG:
-                self._publish(Publish(*item))
-        return list(updates)
-
-    def _publish(self, put: Publish) -> list[Any]:
-        value_record = wire.ValueRecord(put.kind, put.fencing_token, put.digest, put.data)
-        members = wire.members_or_none(put.data) if put.kind == CORE else ()
-        if members is None or not self.value_store.put(value_record):
-            return []
-        self.value_fetcher.accept(put.kind, put.fencing_token, put.data, put.digest)
-        self.log.put(put.kind, value_record)
-        if put.kind == CONFIG:
-            self.view.set_current_config(put.fencing_token[1], put.digest)
-        elif put.kind == CORE:
-            self.view.set_core_members(put.fencing_token, members)
-        return []
-
-    def _set_core(self, now: float, addresses: Sequence[Address]) -> list[Any]:
+                reconciled += self.leases.reconcile(now, output.id)
+        return reconciled
+
+    def _apply_values(self, values: list[ValueUpdated]) -> list[ControllerOutput]:
+        """Output values of others, and publish them in the own log too, except configurations."""
+        for value in values:
+            if value.kind != ValueKind.CONFIG:
+                self._publish(Publish(value.kind, value.fencing_token, value.data, value.digest))
+        return [*values]
+
+    def _publish(self, publish: Publish) -> None:
+        """Publish a value, unless a newer one of its kind is known or it can't be read."""
+        record = ValueRecord(publish.kind, publish.fencing_token, publish.digest, publish.data)
+        is_core = publish.kind == ValueKind.CORE
+        members = codec.members_or_none(publish.data) if is_core else ()
+        if members is None or not self.value_store.put(record):
+            return
+        self.value_fetcher.accept(publish.kind, publish.fencing_token, publish.data, publish.digest)
+        self.log.put(publish.kind, record)
+        if publish.kind == ValueKind.CONFIG:
+            self.view.set_current_config(publish.fencing_token.number, publish.digest)
+        elif is_core:
+            self.view.set_core_members(publish.fencing_token, members)
+
+    def _set_core(self, now: float, addresses: Sequence[Address]) -> list[ControllerOutput]:
         self.leases.core = tuple(addresses)
-        for left in self.follower.follow(now, [a for a in addresses if a != self.address]):
-            self.table.release_all(now, left)
-        return [*self.follower.tick(now), *self.leases.confirmed()]
+        others = [address for address in addresses if address != self.address]
+        for dropped in self.follower.follow(now, others):
+            self.table.release_all(now, dropped)
+        return [*self.follower.tick(now), *self.leases.confirmed_calls()]
 
-    def _tick(self, now: float) -> list[Any]:
+    def _tick(self, now: float) -> list[ControllerOutput]:
         quorate = self.log.quorate(now)
         self.targets.tick(now, quorate)
-        out: list[Any] = self._reconciled(now, self.leases.tick(now, quorate))
-        self.log.lost = [wire.address_hash(a) for a in self.follower.silent(now)]
-        for source, last in self.follower.lost(now, self.table.grace):
-            self.table.release_all(last, source)
+        outputs = self._reconcile_removed(now, self.leases.tick(now, quorate))
+        self.log.unreachable = [codec.address_hash(a) for a in self.follower.unresponsive(now)]
+        for source, last_heard_at in self.follower.lost(now, self.table.grace_s):
+            self.table.release_all(last_heard_at, source)
         suspicions_known = bool(self.follower.suspicions(now)) or not self.follower.sources
-        out += self._reconciled(now, self.table.tick(now, suspicions_known))
+        outputs += self._reconcile_removed(now, self.table.tick(now, suspicions_known))
         return [
-            *out,
+            *outputs,
             *self.follower.tick(now),
             *self.value_fetcher.tick(now),
             *self.view.tick(now),
--- a/gateway/membership/heartbeat_target.py
+++ b/gateway/membership/heartbeat_target.py
@@ -23,7 +23,12 @@
 class HeartbeatTargets:
     """Chooses targets for the backends that call one controller.
 
-    `zone` is the number of its zone, `zone_numbers` the numbers by the names that backends tell.
+    Args:
+        address: Of this controller.
+        zone: The number of its zone.
+        zone_numbers: The numbers of zones by the names that backends send.
+        follower: Knows the other controllers.
+        rng: Chooses among them.
     """
 
     def __init__(
@@ -47,26 +52,30 @@
         if quorate or self.in_contact_at is None:
             self.in_contact_at = now
         while self.suggested and self._oldest_suggestion() <= now - SUGGEST_AGAIN_S:
-            del self.suggested[next(iter(self.suggested))]
+            self._drop_oldest_suggestion()
 
-    def choose(self, now: float, id: str, zone: str, core: Collection[Address]) -> Address:
+    def choose(self, now: float, backend_id: str, zone: str, core: Collection[Address]) -> Address:
         """The member of the core that a backend of this zone should call from now on."""
         if self.in_contact_at is not None and now - self.in_contact_at >= OUT_OF_CONTACT_S:
             others = [member for member in core if member != self.address]
             return self.rng.choice(others) if others else self.address
-        number = self.zone_numbers.get(zone, self.zone)
-        if number == self.zone or id in self.suggested:
+        zone_number = self.zone_numbers.get(zone, self.zone)
+        if zone_number == self.zone or backend_id in self.suggested:
             return self.address
-        near = sorted(a for a in self.follower.quorate(now) if self.follower.in_zone(a, number))
-        if not near:
+        quorate = self.follower.quorate(now)
+        in_zone = sorted(a for a in quorate if self.follower.in_zone(a, zone_number))
+        if not in_zone:
             return self.address
-        self._remember(now, id)
-        return near[zlib.crc32(id.encode()) % len(near)]
+        self._remember(now, backend_id)
+        return in_zone[zlib.crc32(backend_id.encode()) % len(in_zone)]
 
     def _oldest_suggestion(self) -> float:
         return next(iter(self.suggested.values()))
 
-    def _remember(self, now: float, id: str) -> None:
+    def _drop_oldest_suggestion(self) -> None:
+        del self.suggested[next(iter(self.suggested))]
+
+    def _remember(self, now: float, backend_id: str) -> None:
         if len(self.suggested) >= MAX_SUGGESTIONS:
-            del self.suggested[next(iter(self.suggested))]
-        self.suggested[id] = now
+            self._drop_oldest_suggestion()
+        self.suggested[backend_id] = now
--- a/gateway/membership/leases.py
+++ b/gateway/membership/leases.py
@@ -4,32 +4,28 @@
 
 from collections import deque
 from collections.abc import Collection
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gateway.membership.backend_table import (
-    PAUSE_S,
+    MAX_TICK_GAP_S,
     TOMBSTONE_S,
-    BackendChange,
     BackendRow,
     BackendTable,
     is_significant,
 )
 from gateway.membership.change_log import ChangeLog
-from gateway.membership.messages import (
-    Acknowledged,
-    Backend,
-    BackendRemoved,
-    Deregistration,
-    Heartbeat,
-    Rejected,
-)
-from gateway.membership.wire import FINAL_SEQUENCE, EndRecord, LeaseRecord, Record, ReleaseRecord
+from gateway.membership.codec import FINAL_SEQUENCE, EndRecord, LeaseRecord, Record, ReleaseRecord
+from gateway.membership.events import Deregistration, Heartbeat
+from gateway.membership.outputs import Acknowledged, BackendChange, BackendRemoved, CallAnswer, Rejected
+from gateway.membership.types import Backend, CallToken
 from gateway.state_machine import Address
 
 REJECT_AFTER_S = 0.7  # for a call without a majority; less than the second that a backend waits
 MAX_PENDING_CALLS = 1024
-LEASE_SLACK_S = 0.5  # of a lease, beyond three heartbeat intervals
+LEASE_SLACK_S = 0.5  # of a lease, beyond `LEASE_HEARTBEATS` intervals
+LEASE_HEARTBEATS = 3  # heartbeat intervals that a lease lasts
 MAX_NAME_LENGTH = 255  # characters
+MAX_CAPACITY = (1 << 32) - 1
 SELF = ""  # this process as a source of its own table
 
 
@@ -44,28 +40,32 @@
 
 
 class _PendingCall(NamedTuple):
-    token: Any
+    token: CallToken
     number: int  # of the change in the log that a majority must have
     until: float
 
 
+class _Known(NamedTuple):
+    """What is known of a backend: the own lease, the row in the table, and the tombstone."""
+
+    lease: Lease | None
+    row: BackendRow | None
+    tombstone: EndRecord | None
+
+
 def _is_valid_name(text: str) -> bool:
     """Whether a name can be sent to others: not too long, and without lone surrogates."""
-    halves = not text.isascii() and any("\ud800" <= letter <= "\udfff" for letter in text)
-    return len(text) <= MAX_NAME_LENGTH and not halves
+    has_surrogates = not text.isascii() and any("\ud800" <= letter <= "\udfff" for letter in text)
+    return len(text) <= MAX_NAME_LENGTH and not has_surrogates
 
 
 def is_valid(heartbeat: Heartbeat) -> bool:
     """Whether a heartbeat can be passed on to others: its names are valid, its numbers in range."""
+    names = (heartbeat.id, heartbeat.service, heartbeat.address, heartbeat.zone, heartbeat.generation)
     return (
         0 <= heartbeat.seq < FINAL_SEQUENCE
-        and 0 <= heartbeat.capacity < 1 << 32
-        and all(
-            map(
-                _is_valid_name,
-                (heartbeat.id, heartbeat.service, heartbeat.address, heartbeat.zone, heartbeat.generation),
-            )
-        )
+        and 0 <= heartbeat.capacity <= MAX_CAPACITY
+        and all(map(_is_valid_name, names))
     )
 
 
@@ -73,121 +73,137 @@
     """Handles heartbeats and deregistrations, writes the log, and keeps it consistent with other logs.
 
     A lease lasts three heartbeat intervals and `LEASE_SLACK_S`. A planned end (draining, DELETE) is
-    acknowledged when a majority of the core has it in their copies of the log."""
+    acknowledged when a majority of the core has it in their copies of the log.
+    """
 
-    def __init__(self, log: ChangeLog, table: BackendTable, address: Address, heartbeat: float) -> None:
+    def __init__(
+        self, log: ChangeLog, table: BackendTable, address: Address, heartbeat_interval_s: float
+    ) -> None:
         self.log = log
         self.table = table
         self.address = address
-        self.length = 3 * heartbeat + LEASE_SLACK_S
+        self.duration_s = LEASE_HEARTBEATS * heartbeat_interval_s + LEASE_SLACK_S
         self.leases: dict[str, Lease] = {}
         self.core: Collection[Address] = ()
-        self.waiting: deque[_PendingCall] = deque()
-        self.ticked: float | None = None
+        self.pending_calls: deque[_PendingCall] = deque()
+        self.ticked_at: float | None = None
+
+    def on_heartbeat(self, now: float, heartbeat: Heartbeat) -> list[CallAnswer | BackendChange]:
+        """Handle a backend's heartbeat: renew its lease, and acknowledge it.
 
-    def heartbeat(self, now: float, heartbeat: Heartbeat) -> list[Acknowledged | Rejected | BackendChange]:
-        """Handle a backend's heartbeat: renew its lease, and acknowledge it. A heartbeat that says that the
-        backend drains is acknowledged only when a majority of the core has that."""
+        A heartbeat that says that the backend drains is acknowledged only when a majority of the core has
+        that.
+        """
         if self.address not in self.core or not is_valid(heartbeat):
             return [Rejected(heartbeat.token)]
-        out = self._renew(now, heartbeat)
-        if out is None:
+        changes = self._renew(now, heartbeat)
+        if changes is None:
             return [Rejected(heartbeat.token)]
         if not heartbeat.draining:
-            return [Acknowledged(heartbeat.token), *out]
-        return [*out, *self._await_majority(now, heartbeat.token, self.log.number(heartbeat.id))]
+            return [Acknowledged(heartbeat.token), *changes]
+        return [*changes, *self._await_majority(now, heartbeat.token, self.log.number(heartbeat.id))]
 
     def _renew(self, now: float, heartbeat: Heartbeat) -> list[BackendChange] | None:
+        """Renew a lease, or begin one; None if there is no room for it."""
         lease, row, tombstone = self._known(heartbeat.id)
         if lease is None and len(self.leases) >= self.table.max_rows:
             return None
         known = lease.backend if lease else row.backend if row else None
-        if (
-            tombstone is not None
-            and heartbeat.seq <= tombstone.seq
-            or known is not None
-            and heartbeat.seq <= known.seq
-        ):
+        if tombstone is not None and heartbeat.seq <= tombstone.seq:
             return []
-        since = known.since if known else min(now, tombstone.since) if tombstone else now
-        backend = Backend(
-            *heartbeat[1:8],
-            cold_until=now + heartbeat.cold_left if heartbeat.cold_left > 0 else 0.0,
-            seq=heartbeat.seq,
-            since=since,
-        )
+        if known is not None and heartbeat.seq <= known.seq:
+            return []
+        first_heard_at = now
+        if known is not None:
+            first_heard_at = known.first_heard_at
+        elif tombstone is not None:
+            first_heard_at = min(now, tombstone.first_heard_at)
+        backend = _backend(now, heartbeat, first_heard_at)
         if lease is None or is_significant(now, lease.backend, backend):
             return self._publish_lease(now, backend)
-        lease.backend = backend._replace(cold_until=lease.backend.cold_until)
-        lease.until = now + self.length
+        lease.backend = backend._replace(slow_start_until=lease.backend.slow_start_until)
+        lease.until = now + self.duration_s
         return []
 
     def _publish_lease(self, now: float, backend: Backend) -> list[BackendChange]:
-        """Hold a lease on a backend from now on, and publish it in the log."""
-        out = self.table.record(now, SELF, LeaseRecord(backend))
+        """Have a lease on a backend from now on, and publish it in the log."""
+        changes = self.table.record(now, SELF, LeaseRecord(backend))
         row = self.table.rows.get(backend.id)
-        if row is not None and SELF in row.holders:
-            self.leases[backend.id] = Lease(row.backend, now + self.length)
+        if row is not None and SELF in row.lease_holders:
+            self.leases[backend.id] = Lease(row.backend, now + self.duration_s)
             self.log.put(backend.id, LeaseRecord(row.backend))
         else:  # its address is another's by now
             self.leases.pop(backend.id, None)
-        return self._reconciled(now, out)
+        return self._reconcile_removed(now, changes)
 
-    def end(self, now: float, end: Deregistration) -> list[Acknowledged | Rejected | BackendChange]:
+    def on_deregistration(self, now: float, call: Deregistration) -> list[CallAnswer | BackendChange]:
         """A backend says that it has ended: publish that, and answer when a majority has it."""
-        if self.address not in self.core or not _is_valid_name(end.id):
-            return [Rejected(end.token)]
-        out = self.table.ended(now, SELF, end.id, FINAL_SEQUENCE)
-        out += self.reconcile(now, end.id)
-        return [*out, *self._await_majority(now, end.token, self.log.number(end.id))]
-
-    def tick(self, now: float, quorate: bool) -> list[Acknowledged | Rejected | BackendChange]:
-        """Expire leases, and reject calls that weren't confirmed in time. The time of leases is suspended
-        while this process is cut off from the core (heartbeats may go elsewhere) and while it was paused."""
-        passed = now - self.ticked if self.ticked is not None else 0.0
-        self.ticked = now
-        if not quorate or passed > PAUSE_S:
+        if self.address not in self.core or not _is_valid_name(call.id):
+            return [Rejected(call.token)]
+        changes = self.table.end(now, SELF, call.id, FINAL_SEQUENCE)
+        changes += self.reconcile(now, call.id)
+        return [*changes, *self._await_majority(now, call.token, self.log.number(call.id))]
+
+    def tick(self, now: float, quorate: bool) -> list[CallAnswer | BackendChange]:
+        """Expire leases, and reject calls that weren't confirmed in time.
+
+        The time of leases is suspended while this process is cut off from the core (heartbeats may go
+        elsewhere) and while it was paused.
+        """
+        passed = now - self.ticked_at if self.ticked_at is not None else 0.0
+        self.ticked_at = now
+        if not quorate or passed > MAX_TICK_GAP_S:
             for lease in self.leases.values():
                 lease.until += passed
-        out: list[Acknowledged | Rejected | BackendChange] = []
-        for id, lease in [(i, x) for i, x in self.leases.items() if x.until <= now]:
-            out += self.table.ended(now, SELF, id, lease.backend.seq)
-            out += self.reconcile(now, id)
-        while self.waiting and self.waiting[0].until <= now:
-            out.append(Rejected(self.waiting.popleft().token))
-        return out
-
-    def reconcile(self, now: float, id: str) -> list[BackendChange]:
-        """Bring the own log in line with the table for this backend: another controller may receive its
-        heartbeats by now, or may report something older than what was heard here, or a planned end that is
-        to be relayed."""
-        lease, row, tombstone = self._known(id)
-        published = self.log.get(id)
+        outputs: list[CallAnswer | BackendChange] = []
+        for backend_id, lease in [(i, x) for i, x in self.leases.items() if x.until <= now]:
+            outputs += self.table.end(now, SELF, backend_id, lease.backend.seq)
+            outputs += self.reconcile(now, backend_id)
+        while self.pending_calls and self.pending_calls[0].until <= now:
+            outputs.append(Rejected(self.pending_calls.popleft().token))
+        return outputs
+
+    def reconcile(self, now: float, backend_id: str) -> list[BackendChange]:
+        """Bring the own log in line with the table for this backend.
+
+        Another controller may receive its heartbeats by now, or may report something older than what was
+        heard here, or a planned end that is to be relayed.
+        """
+        lease, row, tombstone = self._known(backend_id)
+        published = self.log.get(backend_id)
         if lease is not None:
             seq = lease.backend.seq
             if (tombstone is None or tombstone.seq < seq) and (row is None or row.backend.seq <= seq):
                 if row is not None and self._is_current(published, row, tombstone):
                     return []
-                out = self._publish_lease(now, lease.backend)
-                return out if id in self.leases else out + self.reconcile(now, id)
-            del self.leases[id]
-            self.table.record(now, SELF, ReleaseRecord(id))
-        if row is not None:
-            if row.backend.draining:
-                if not (
+                changes = self._publish_lease(now, lease.backend)
+                is_published = backend_id in self.leases
+                return changes if is_published else changes + self.reconcile(now, backend_id)
+            del self.leases[backend_id]
+            self.table.record(now, SELF, ReleaseRecord(backend_id))
+        self._publish_without_lease(now, backend_id, _Known(None, row, tombstone), published)
+        return []
+
+    def _publish_without_lease(
+        self, now: float, backend_id: str, known: _Known, published: Record | None
+    ) -> None:
+        """Bring the own log in line for a backend on which this process has no lease."""
+        if known.row is not None:
+            if known.row.backend.draining:
+                is_relayed = (
                     isinstance(published, LeaseRecord)
                     and published.relay
-                    and published.backend.seq == row.backend.seq
-                ):
-                    self.log.put(id, LeaseRecord(row.backend, relay=True))
-                return []
-        elif tombstone is not None:
-            if not (isinstance(published, EndRecord) and published.seq >= tombstone.seq):
-                self.log.put(id, tombstone)
-            return []
+                    and published.backend.seq == known.row.backend.seq
+                )
+                if not is_relayed:
+                    self.log.put(backend_id, LeaseRecord(known.row.backend, relay=True))
+                return
+        elif known.tombstone is not None:
+            if not (isinstance(published, EndRecord) and published.seq >= known.tombstone.seq):
+                self.log.put(backend_id, known.tombstone)
+            return
         if isinstance(published, LeaseRecord):
-            self.log.put(id, ReleaseRecord(id, now + TOMBSTONE_S))
-        return []
+            self.log.put(backend_id, ReleaseRecord(backend_id, now + TOMBSTONE_S))
 
     @staticmethod
     def _is_current(published: Record | None, row: BackendRow, tombstone: EndRecord | None) -> bool:
@@ -199,33 +215,53 @@
             and (tombstone is None or tombstone.seq < row.backend.seq)
         )
 
-    def _known(self, id: str) -> tuple[Lease | None, BackendRow | None, EndRecord | None]:
-        return self.leases.get(id), self.table.rows.get(id), self.table.tombstones.get(id)
+    def _known(self, backend_id: str) -> _Known:
+        return _Known(
+            self.leases.get(backend_id),
+            self.table.rows.get(backend_id),
+            self.table.tombstones.get(backend_id),
+        )
 
-    def _reconciled(self, now: float, changes: list[BackendChange]) -> list[BackendChange]:
-        out = list(changes)
+    def _reconcile_removed(self, now: float, changes: list[BackendChange]) -> list[BackendChange]:
+        """After backends were removed: record that in the own log too."""
+        outputs = list(changes)
         for change in changes:
             if isinstance(change, BackendRemoved):
-                out += self.reconcile(now, change.id)
-        return out
+                outputs += self.reconcile(now, change.id)
+        return outputs
 
-    def _await_majority(
-        self, now: float, token: Any, number: int
-    ) -> list[Acknowledged | Rejected | BackendChange]:
-        if len(self.waiting) >= MAX_PENDING_CALLS:
+    def _await_majority(self, now: float, token: CallToken, number: int) -> list[CallAnswer]:
+        """Answer a call once a majority of the core has the log up to this number."""
+        if len(self.pending_calls) >= MAX_PENDING_CALLS:
             return [Rejected(token)]
-        self.waiting.append(_PendingCall(token, number, now + REJECT_AFTER_S))
-        return list(self.confirmed())
+        self.pending_calls.append(_PendingCall(token, number, now + REJECT_AFTER_S))
+        return [*self.confirmed_calls()]
 
-    def confirmed(self) -> list[Acknowledged]:
+    def confirmed_calls(self) -> list[Acknowledged]:
         """Acknowledge the calls whose changes a majority of the core has by now."""
-        out = []
+        acknowledged: list[Acknowledged] = []
         still_pending = deque[_PendingCall]()
-        others = [m for m in self.core if m != self.address]
-        for call in self.waiting:
-            if 2 * (1 + self.log.confirmed(call.number, others)) > len(self.core):
-                out.append(Acknowledged(call.token))
+        others = [member for member in self.core if member != self.address]
+        for call in self.pending_calls:
+            if 2 * (1 + self.log.confirmations(call.number, others)) > len(self.core):
+                acknowledged.append(Acknowledged(call.token))
             else:
                 still_pending.append(call)
-        self.waiting = still_pending
-        return out
+        self.pending_calls = still_pending
+        return acknowledged
+
+
+def _backend(now: float, heartbeat: Heartbeat, first_heard_at: float) -> Backend:
+    slow_start_left_s = heartbeat.slow_start_left_s
+    return Backend(
+        id=heartbeat.id,
+        service=heartbeat.service,
+        address=heartbeat.address,
+        zone=heartbeat.zone,
+        generation=heartbeat.generation,
+        capacity=heartbeat.capacity,
+        draining=heartbeat.draining,
+        slow_start_until=now + slow_start_left_s if slow_start_left_s > 0 else 0.0,
+        seq=heartbeat.seq,
+        first_heard_at=first_heard_at,
+    )
--- a/gateway/membership/peer_view.py
+++ b/gateway/membership/peer_view.py
@@ -7,23 +7,33 @@
 from typing import NamedTuple
 
 from gateway.membership import membership_pb2 as pb
-from gateway.membership.messages import ConfigAdvertised, CoreMembers, FencingToken
-from gateway.membership.wire import packed, unpacked
-from gateway.state_machine import Address, Send
+from gateway.membership.codec import pack_address, unpack_address
+from gateway.membership.outputs import ConfigAdvertised, CoreMembers, GossipOutput
+from gateway.membership.types import Role
+from gateway.state_machine import Address, FencingToken, Send
 
 VIEW_SIZE = 8
 SHUFFLE_INTERVAL_S = 1.0  # between two shuffles
-EXPEDITED_INTERVAL_S = 0.25  # likewise, while there is something new to pass on
-OUTSIDE_PEER_EVERY = (
-    5  # one shuffle in so many goes to a process outside the view, so that partitions find each other again
-)
+SHUFFLE_JITTER = 0.1  # by which that interval varies
+EXPEDITED_INTERVAL_S = 0.25  # between two shuffles while there is something new to pass on
+# One shuffle in so many goes to a process outside the view, so that partitions find each other again.
+OUTSIDE_PEER_EVERY = 5
 MAX_UNRESPONSIVE_PEERS = 8  # peers that gave no answer and are tried again
 MAX_CORE_MEMBERS = 16
+MAX_AGE = 255  # shuffles
+MAX_SHUFFLE_NUMBER = 0xFFFF
 DIGEST_BYTES = 8
+LONG_AGO = -1e9  # before any time of a steady clock, in seconds
+
+PackedAddress = int
+"""48 bits: IPv4 address and port."""
+
+PackedPeer = int
+"""64 bits: packed address, zone (12 bits) and role (4 bits)."""
 
 
 class PeerEntry(NamedTuple):
-    """An entry of a view; its age in shuffles."""
+    """An entry of a view; its age in shuffles. `role` is a `Role`, or one that only a later release knows."""
 
     address: Address
     role: int
@@ -31,6 +41,13 @@
     age: int
 
 
+class AgedPeer(NamedTuple):
+    """A packed peer, and its age in shuffles."""
+
+    peer: PackedPeer
+    age: int
+
+
 class ConfigVersion(NamedTuple):
     """A configuration: version (0: none) and the first bytes of its digest."""
 
@@ -41,14 +58,23 @@
 class PeerView:
     """Exchanges half of its entries with its oldest peer each second; a peer that doesn't answer is dropped.
 
-    `zone` is a number from 0 to 4095, `role` from 0 to 15. Seeds are contacted while the view is empty, and
-    occasionally later. At most four shuffles a second are begun, one while there is nothing new; each one
-    received is answered. Each message holds at most half a view and 16 members of the core."""
+    Seeds are contacted while the view is empty, and occasionally later. At most four shuffles a second are
+    begun, one while there is nothing new; each one received is answered. Each message holds at most half a
+    view and 16 members of the core.
+
+    Args:
+        address: Of this process.
+        role: Of this process.
+        zone: A number from 0 to 4095.
+        seeds: Addresses to contact while no peers are known.
+        rng: Chooses peers and entries.
+        size: Entries in the view.
+    """
 
     def __init__(
         self,
         address: Address,
-        role: int,
+        role: Role,
         zone: int,
         seeds: Iterable[Address],
         rng: random.Random,
@@ -57,189 +83,192 @@
         self.address = address
         self.rng = rng
         self.size = size
-        self.own_entry = packed(address) << 16 | zone << 4 | role
-        self.seeds: list[int] = []
+        self.own_peer: PackedPeer = pack_address(address) << 16 | zone << 4 | role
+        self.seeds: list[PackedAddress] = []
         self.set_seeds(seeds)
-        self.entries: dict[int, int] = {}  # age by packed address, zone and role (64 bits)
-        self.unresponsive_peers: list[int] = []  # packed addresses
-        self.members_version: FencingToken = (0, 0)
-        self.members: tuple[int, ...] = ()
-        self.current_config = self.newest = ConfigVersion()
-        self.number = 0
+        self.entries: dict[PackedPeer, int] = {}  # by peer, its age
+        self.unresponsive_peers: list[PackedAddress] = []
+        self.members_version = FencingToken(0, 0)
+        self.members: tuple[PackedAddress, ...] = ()
+        self.current_config = ConfigVersion()  # of this process
+        self.newest_config = ConfigVersion()  # that is known to exist
+        self.shuffle_number = 0
         self.shuffle_count = 0
-        self.asked: int | None = None  # packed address that the last shuffle went to, until it answers
-        self.sent_entries: list[int] = []
-        self.last_shuffle_at = -1e9
-        self.due = -1e9
-        self.expedite = False
+        self.awaits_reply_from: PackedAddress | None = None  # of the last shuffle
+        self.sent_peers: list[PackedPeer] = []  # with the last shuffle
+        self.last_shuffle_at = LONG_AGO
+        self.next_shuffle_at = LONG_AGO
+        self.expedite = False  # there is something new to pass on
 
     def peers(self) -> list[PeerEntry]:
         """The entries of the present view."""
         return [
-            PeerEntry(unpacked(entry >> 16), entry & 15, entry >> 4 & 4095, age)
-            for entry, age in self.entries.items()
+            PeerEntry(unpack_address(peer >> 16), peer & 15, peer >> 4 & 4095, age)
+            for peer, age in self.entries.items()
         ]
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
         """Set the addresses to contact while no peers are known."""
-        self.seeds = [entry for entry in map(packed, seeds) if entry != self.own_entry >> 16]
+        self.seeds = [seed for seed in map(pack_address, seeds) if seed != self.own_peer >> 16]
 
     def set_core_members(self, members_version: FencingToken, members: Iterable[Address]) -> bool:
         """Set the members of the core, as known from elsewhere; returns whether they are newer."""
         if members_version <= self.members_version:
             return False
         self.members_version = members_version
-        self.members = tuple(map(packed, members))[:MAX_CORE_MEMBERS]
+        self.members = tuple(map(pack_address, members))[:MAX_CORE_MEMBERS]
         self.expedite = True
         return True
 
     def set_current_config(self, version: int, digest: bytes) -> None:
-        """Set the configuration that this process holds, to be advertised to peers."""
-        current_config = ConfigVersion(
-            version, int.from_bytes(digest[:DIGEST_BYTES].ljust(DIGEST_BYTES, b"\0"), "big")
-        )
-        self.expedite = self.expedite or current_config.version > self.newest.version
-        self.current_config = current_config
-        self.newest = max(self.newest, current_config, key=lambda h: h.version)
+        """Set the configuration that this process has, to be advertised to peers."""
+        prefix = digest[:DIGEST_BYTES].ljust(DIGEST_BYTES, b"\0")
+        self.current_config = ConfigVersion(version, int.from_bytes(prefix, "big"))
+        self.expedite = self.expedite or version > self.newest_config.version
+        self.newest_config = max(self.newest_config, self.current_config, key=lambda c: c.version)
 
     def tick(self, now: float) -> list[Send]:
         """Begin a shuffle if one is due."""
-        if now < self.due and not (self.expedite and now - self.last_shuffle_at >= EXPEDITED_INTERVAL_S):
+        is_expedited = self.expedite and now - self.last_shuffle_at >= EXPEDITED_INTERVAL_S
+        if now < self.next_shuffle_at and not is_expedited:
             return []
         self._drop_unresponsive()
-        to = self._choose_partner()
-        self.due = now + SHUFFLE_INTERVAL_S * self.rng.uniform(0.9, 1.1)
+        partner = self._choose_partner()
+        jitter = self.rng.uniform(1 - SHUFFLE_JITTER, 1 + SHUFFLE_JITTER)
+        self.next_shuffle_at = now + SHUFFLE_INTERVAL_S * jitter
         self.last_shuffle_at = now
         self.expedite = False
-        if to is None:
+        if partner is None:
             return []
-        self.number = self.number % 0xFFFF + 1
-        self.entries = {entry: age + 1 for entry, age in self.entries.items()}
-        self.asked = to
-        self.sent_entries = self._sample_entries(self.size // 2 - 1, to)
-        note = pb.Message()
-        self._fill_shuffle(
-            note.shuffle_request,
-            self.number,
-            [(self.own_entry, 0), *((entry, self.entries[entry]) for entry in self.sent_entries)],
-        )
-        return [Send(unpacked(to), note)]
+        self.shuffle_number = self.shuffle_number % MAX_SHUFFLE_NUMBER + 1
+        self.entries = {peer: age + 1 for peer, age in self.entries.items()}
+        self.awaits_reply_from = partner
+        self.sent_peers = self._sample_peers(self.size // 2 - 1, partner)
+        message = pb.Message()
+        entries = [AgedPeer(self.own_peer, 0), *self._aged(self.sent_peers)]
+        self._fill_shuffle(message.shuffle_request, self.shuffle_number, entries)
+        return [Send(unpack_address(partner), message)]
 
     def _drop_unresponsive(self) -> None:
         """Drop the peer that didn't answer the last shuffle."""
-        gone = self.asked
-        self.asked = None
+        gone = self.awaits_reply_from
+        self.awaits_reply_from = None
         if gone is None:
             return
-        self.unresponsive_peers = [a for a in self.unresponsive_peers if a != gone]
-        for entry in [entry for entry in self.entries if entry >> 16 == gone]:
-            del self.entries[entry]
+        self.unresponsive_peers = [address for address in self.unresponsive_peers if address != gone]
+        for peer in [peer for peer in self.entries if peer >> 16 == gone]:
+            del self.entries[peer]
             self.unresponsive_peers = [*self.unresponsive_peers, gone][-MAX_UNRESPONSIVE_PEERS:]
 
-    def _choose_partner(self) -> int | None:
+    def _choose_partner(self) -> PackedAddress | None:
         """The oldest peer; one time in `OUTSIDE_PEER_EVERY`, or without any peer, one outside the view."""
         self.shuffle_count += 1
         if self.entries and self.shuffle_count % OUTSIDE_PEER_EVERY:
-            return max(self.entries, key=lambda entry: self.entries[entry]) >> 16
-        known = {entry >> 16 for entry in self.entries} | {self.own_entry >> 16}
-        others = [
-            a for a in dict.fromkeys([*self.unresponsive_peers, *self.seeds, *self.members]) if a not in known
-        ]
-        if others:
-            return self.rng.choice(others)
-        return max(self.entries, key=lambda entry: self.entries[entry]) >> 16 if self.entries else None
+            return self._oldest_peer()
+        known = {peer >> 16 for peer in self.entries} | {self.own_peer >> 16}
+        candidates = dict.fromkeys([*self.unresponsive_peers, *self.seeds, *self.members])
+        outside = [address for address in candidates if address not in known]
+        if outside:
+            return self.rng.choice(outside)
+        return self._oldest_peer() if self.entries else None
 
-    def _sample_entries(self, count: int, excluded: int) -> list[int]:
-        others = [entry for entry in self.entries if entry >> 16 != excluded]
+    def _oldest_peer(self) -> PackedAddress:
+        return max(self.entries, key=lambda peer: self.entries[peer]) >> 16
+
+    def _sample_peers(self, count: int, excluded: PackedAddress) -> list[PackedPeer]:
+        others = [peer for peer in self.entries if peer >> 16 != excluded]
         return self.rng.sample(others, min(count, len(others)))
 
-    def _fill_shuffle(self, shuffle_request: pb.Shuffle, number: int, entries: list[tuple[int, int]]) -> None:
-        shuffle_request.number = number
-        shuffle_request.packed_peer.extend(entry for entry, _ in entries)
-        shuffle_request.ages = bytes(min(age, 255) for _, age in entries)
-        shuffle_request.term, shuffle_request.index = self.members_version
-        shuffle_request.version, shuffle_request.digest = self.current_config
-        if self.newest.version > self.current_config.version:
-            shuffle_request.newest, shuffle_request.newest_digest = self.newest
-
-    def received(
-        self, now: float, sender: Address, shuffle_request: pb.Shuffle, answer: bool
-    ) -> list[Send | ConfigAdvertised | CoreMembers]:
-        """Handle a shuffle request, or (`answer`) the reply to one. Returns what to send, and what is newer
-        than what was known here."""
-        out = self._learn_from_shuffle(sender, shuffle_request)
-        entries = list(zip(shuffle_request.packed_peer, shuffle_request.ages, strict=False))[: self.size]
-        if answer:
-            if shuffle_request.number == self.number and self.asked == packed(sender):
-                self.asked = None
-                self._merge_entries(entries, self.sent_entries, packed(sender))
-            if (
-                shuffle_request.term,
-                shuffle_request.index,
-            ) < self.members_version:  # the sender doesn't know the newest members
-                note = pb.Message()
-                self._fill_shuffle(note.shuffle_reply, 0, [])
-                note.shuffle_reply.core.extend(self.members)
-                out.append(Send(sender, note))
-            return out
-        sent_entries = self._sample_entries(self.size // 2, packed(sender))
-        note = pb.Message()
-        self._fill_shuffle(
-            note.shuffle_reply,
-            shuffle_request.number,
-            [(entry, self.entries[entry]) for entry in sent_entries],
-        )
-        if (shuffle_request.term, shuffle_request.index) < self.members_version:
-            note.shuffle_reply.core.extend(self.members)
-        self._merge_entries(entries, sent_entries, None)
-        return [*out, Send(sender, note)]
-
-    def _learn_from_shuffle(
-        self, sender: Address, shuffle_request: pb.Shuffle
-    ) -> list[Send | ConfigAdvertised | CoreMembers]:
-        out: list[Send | ConfigAdvertised | CoreMembers] = []
-        if (
-            shuffle_request.core
-            and (members_version := (shuffle_request.term, shuffle_request.index)) > self.members_version
-        ):
-            members = tuple(map(unpacked, shuffle_request.core[:MAX_CORE_MEMBERS]))
+    def _aged(self, peers: list[PackedPeer]) -> list[AgedPeer]:
+        return [AgedPeer(peer, self.entries[peer]) for peer in peers]
+
+    def _fill_shuffle(self, shuffle: pb.Shuffle, number: int, entries: list[AgedPeer]) -> None:
+        shuffle.number = number
+        shuffle.packed_peer.extend(entry.peer for entry in entries)
+        shuffle.ages = bytes(min(entry.age, MAX_AGE) for entry in entries)
+        shuffle.term, shuffle.index = self.members_version
+        shuffle.version, shuffle.digest = self.current_config
+        if self.newest_config.version > self.current_config.version:
+            shuffle.newest, shuffle.newest_digest = self.newest_config
+
+    def on_shuffle_request(self, sender: Address, shuffle: pb.Shuffle) -> list[GossipOutput]:
+        """Handle a shuffle request; returns its reply, and what is newer than what was known here."""
+        outputs = self._learn(sender, shuffle)
+        sent_peers = self._sample_peers(self.size // 2, pack_address(sender))
+        message = pb.Message()
+        self._fill_shuffle(message.shuffle_reply, shuffle.number, self._aged(sent_peers))
+        if (shuffle.term, shuffle.index) < self.members_version:
+            message.shuffle_reply.core.extend(self.members)
+        self._merge(self._received_entries(shuffle), sent_peers, None)
+        return [*outputs, Send(sender, message)]
+
+    def on_shuffle_reply(self, sender: Address, shuffle: pb.Shuffle) -> list[GossipOutput]:
+        """Handle the reply to a shuffle request; returns what is newer than what was known here.
+
+        If the sender doesn't know the newest members of the core, they are sent to it.
+        """
+        outputs = self._learn(sender, shuffle)
+        address = pack_address(sender)
+        if shuffle.number == self.shuffle_number and self.awaits_reply_from == address:
+            self.awaits_reply_from = None
+            self._merge(self._received_entries(shuffle), self.sent_peers, address)
+        if (shuffle.term, shuffle.index) < self.members_version:
+            message = pb.Message()
+            self._fill_shuffle(message.shuffle_reply, 0, [])
+            message.shuffle_reply.core.extend(self.members)
+            outputs.append(Send(sender, message))
+        return outputs
+
+    def _received_entries(self, shuffle: pb.Shuffle) -> list[AgedPeer]:
+        pairs = zip(shuffle.packed_peer, shuffle.ages, strict=False)
+        return [AgedPeer(peer, age) for peer, age in pairs][: self.size]
+
+    def _learn(self, sender: Address, shuffle: pb.Shuffle) -> list[GossipOutput]:
+        """Take the versions in a shuffle; returns what is newer than what was known here."""
+        outputs: list[GossipOutput] = []
+        members_version = FencingToken(shuffle.term, shuffle.index)
+        if shuffle.core and members_version > self.members_version:
+            members = tuple(map(unpack_address, shuffle.core[:MAX_CORE_MEMBERS]))
             self.set_core_members(members_version, members)
-            out.append(CoreMembers(members_version, members))
-        for version, digest, holder in (
-            (shuffle_request.version, shuffle_request.digest, sender),
-            (shuffle_request.newest, shuffle_request.newest_digest, ""),
+            outputs.append(CoreMembers(members_version, members))
+        for config, source in (
+            (ConfigVersion(shuffle.version, shuffle.digest), sender),
+            (ConfigVersion(shuffle.newest, shuffle.newest_digest), ""),
         ):
-            if version:
-                out.append(ConfigAdvertised(version, digest.to_bytes(DIGEST_BYTES, "big"), holder))
-                if version > self.newest.version:
-                    self.newest = ConfigVersion(version, digest)
+            if config.version:
+                digest = config.digest.to_bytes(DIGEST_BYTES, "big")
+                outputs.append(ConfigAdvertised(config.version, digest, source))
+                if config.version > self.newest_config.version:
+                    self.newest_config = config
                     self.expedite = True
-        return out
+        return outputs
 
-    def _merge_entries(
-        self, entries: list[tuple[int, int]], sent_entries: list[int], asked: int | None
+    def _merge(
+        self, entries: list[AgedPeer], sent_peers: list[PackedPeer], partner: PackedAddress | None
     ) -> None:
-        """Merge received entries: into free places, then replacing those sent away, then the asked peer."""
-        entry_by_address = {entry >> 16: entry for entry in self.entries}
-        out = [entry for entry in sent_entries if entry in self.entries]
-        if asked in entry_by_address:
-            out.append(entry_by_address[asked])
-        for packed_peer, age in entries:
-            address = packed_peer >> 16
-            if address == self.own_entry >> 16:
+        """Merge received entries: into free places, then replacing those sent away, then the partner."""
+        peer_by_address = {peer >> 16: peer for peer in self.entries}
+        replaceable = [peer for peer in sent_peers if peer in self.entries]
+        if partner in peer_by_address:
+            replaceable.append(peer_by_address[partner])
+        for peer, age in entries:
+            address = peer >> 16
+            if address == self.own_peer >> 16:
                 continue
-            known = entry_by_address.get(address)
+            known = peer_by_address.get(address)
             if known is not None:
                 if age < self.entries[known]:
                     del self.entries[known]
-                    self.entries[packed_peer] = age
-                    entry_by_address[address] = packed_peer
-                    out = [entry for entry in out if entry != known]
+                    self.entries[peer] = age
+                    peer_by_address[address] = peer
+                    replaceable = [other for other in replaceable if other != known]
                 continue
             if len(self.entries) >= self.size:
-                if not out:
+                if not replaceable:
                     continue
-                del entry_by_address[out[0] >> 16], self.entries[out.pop(0)]
-            self.entries[packed_peer] = age
-            entry_by_address[address] = packed_peer
-            self.unresponsive_peers = [a for a in self.unresponsive_peers if a != address]
+                replaced = replaceable.pop(0)
+                del peer_by_address[replaced >> 16]
+                del self.entries[replaced]
+            self.entries[peer] = age
+            peer_by_address[address] = peer
+            self.unresponsive_peers = [other for other in self.unresponsive_peers if other != address]
--- a/gateway/programs/control_api.py
+++ b/gateway/programs/control_api.py
@@ -13,7 +13,7 @@
 
 from gateway.config.orders import ConfigState, decide
 from gateway.consensus.outputs import ProposalOutcome
-from gateway.membership.messages import Deregistration, Heartbeat
+from gateway.membership.events import Deregistration, Heartbeat
 from gateway.runtime import config_events
 from gateway.runtime.address import host_port
 from gateway.runtime.http_listener import HttpCall, Reply
@@ -250,4 +250,4 @@
         and 0 < beat.capacity < 1 << 31
         and 0 <= beat.seq < 1 << 63
     )
-    return beat if fits and 0 <= beat.cold_left < MAX_COLD_START_S else None
+    return beat if fits and 0 <= beat.slow_start_left_s < MAX_COLD_START_S else None
--- a/gateway/programs/controller_node.py
+++ b/gateway/programs/controller_node.py
@@ -14,9 +14,12 @@
 from gateway.consensus import outputs as consensus_outputs
 from gateway.consensus.entry import PersistentState
 from gateway.consensus.raft import RaftConfig, RaftNode
-from gateway.membership import messages as membership
-from gateway.membership import wire as membership_codec
+from gateway.membership import codec as membership_codec
+from gateway.membership import events as membership_events
+from gateway.membership import outputs as membership_outputs
+from gateway.membership.codec import ZonedAddress
 from gateway.membership.controller import ControllerMembership
+from gateway.membership.types import ValueKind
 from gateway.programs import startup, status_report
 from gateway.programs.control_api import Control
 from gateway.programs.fleet_monitor import JSON, FleetMonitor
@@ -29,7 +32,7 @@
 from gateway.runtime import config_events
 from gateway.runtime.http_listener import HttpCall, Reply
 from gateway.runtime.settings import Settings
-from gateway.state_machine import Address, Send
+from gateway.state_machine import Address, FencingToken, Send
 
 PEER_ALIVE_S = 1.0  # a member heard within this time counts as live
 PUBLISH_INTERVAL_S = 0.5  # between two publications of the list of proxies
@@ -82,7 +85,7 @@
         self.membership = ControllerMembership(
             self.me, zone, seeds, settings.provider.beat_s, rng, startup.zone_numbers(settings)
         )
-        self.membership.handle(clock(), membership.SetQuorate(self.raft.quorum_contact_until()))
+        self.membership.handle(clock(), membership_events.SetQuorumContact(self.raft.quorum_contact_until()))
         self.shard_assigner = ShardAssigner()
         self.holder = ShardOwner(settings.terms.bounds.quota_window_s, rng)
         self.holder_report = HolderReport(self.me, self.holder)
@@ -91,7 +94,7 @@
         self.expected: ExpectedDigests | None = None
         self.published_core: Any = None
         # as last published: term, zone and address of each
-        self.ingresses: tuple[int, list[tuple[int, Address]]] = 0, []
+        self.ingresses: tuple[int, list[ZonedAddress]] = 0, []
         self.ingresses_at = -PUBLISH_INTERVAL_S
         self.told = 0
         self.control = Control(self, lambda call: self.handle_membership(self.membership, call))
@@ -139,7 +142,7 @@
 
     def on_membership_message(self, sender: Address, note: Any) -> None:
         """A message of the membership plane has arrived."""
-        self.handle_membership(self.membership, membership.Received(sender, note))
+        self.handle_membership(self.membership, membership_events.Received(sender, note))
 
     def on_quota_message(self, sender: Address, note: Any) -> None:
         """A message of the quota plane has arrived."""
@@ -170,16 +173,16 @@
         for out in machine.handle(now, event):
             if isinstance(out, Send):
                 self.driver.send(out.to, MEMBERSHIP, out.message)
-            elif isinstance(out, membership.Acknowledged):
+            elif isinstance(out, membership_outputs.Acknowledged):
                 target = self.control_at(out.target) if out.target else ""
                 self.control.heartbeat_answered(out.token, True, target)
-            elif isinstance(out, membership.Rejected):
+            elif isinstance(out, membership_outputs.Rejected):
                 self.control.heartbeat_answered(out.token, False)
-            elif isinstance(out, membership.RunningConfig):
+            elif isinstance(out, membership_outputs.RunningConfig):
                 self.fleet_monitor.runs(now, *out)
-            elif isinstance(out, membership.ConfigAdvertised):
+            elif isinstance(out, membership_outputs.ConfigAdvertised):
                 self.fleet_monitor.heard(now, *out)
-            elif isinstance(out, membership.CoreMembers):
+            elif isinstance(out, membership_outputs.CoreMembers):
                 self.handle_consensus(consensus_events.KnownAddresses(out.members))
 
     def handle_quota(self, machine: ShardAssigner | ShardOwner, event: Any) -> None:
@@ -189,12 +192,13 @@
                 self.driver.send(out.to, QUOTA, out.message)
             elif isinstance(out, quota_outputs.PublishShardMap):
                 self.handle_membership(
-                    self.membership, membership.Publish(membership.SHARD_MAP, out.fencing_token, out.data)
+                    self.membership,
+                    membership_events.Publish(ValueKind.SHARD_MAP, out.fencing_token, out.data),
                 )
 
     def seeds(self, addresses: tuple[Address, ...]) -> None:
         """The settings have other seeds."""
-        self.handle_membership(self.membership, membership.SetSeeds(addresses))
+        self.handle_membership(self.membership, membership_events.SetSeeds(addresses))
         self.handle_consensus(consensus_events.KnownAddresses(addresses))
 
     def written(self, token: int) -> None:
@@ -224,9 +228,10 @@
         digest = self.expected.total.to_bytes(8)
         value = without_order_history(news.value)
         self.handle_membership(
-            self.membership, membership.Publish(membership.CONFIG, (0, news.version), value, digest)
+            self.membership,
+            membership_events.Publish(ValueKind.CONFIG, FencingToken(0, news.version), value, digest),
         )
-        self.handle_membership(self.membership, membership.ConfigApplied(news.version, digest))
+        self.handle_membership(self.membership, membership_events.ConfigApplied(news.version, digest))
         self.push_allowances()
         self.fleet_monitor.config_applied(self.clock(), news.version, self.expected.total, document)
         config_events.in_force(self.me, news.version, document.generation, first)
@@ -255,7 +260,7 @@
         self.handle_consensus(consensus_events.Tick())
         self.publish_core(now)
         self.control.proceed(now)
-        self.handle_membership(self.membership, membership.Tick())
+        self.handle_membership(self.membership, membership_events.Tick())
         raft = self.raft
         self.publish_leadership(now)
         if raft.leader_role is not None:
@@ -297,7 +302,8 @@
         self.told = self.told + 1
         data = membership_codec.encode_ingresses(ingresses)
         self.handle_membership(
-            self.membership, membership.Publish(membership.INGRESSES, (term, self.told), data)
+            self.membership,
+            membership_events.Publish(ValueKind.INGRESSES, FencingToken(term, self.told), data),
         )
 
     def publish_core(self, now: float) -> None:
@@ -306,14 +312,17 @@
         known = raft.committed_entry
         until = raft.quorum_contact_until()
         quorate = now < until
-        self.handle_membership(self.membership, membership.SetQuorate(until))
+        self.handle_membership(self.membership, membership_events.SetQuorumContact(until))
         members = tuple(m.address for m in (raft.members if known is None else known.members))
         told = (members, None if known is None else known.position, raft.leader, quorate)
         if told == self.published_core or not members:
             return
         self.published_core = told  # right after a start from disk: heartbeats need no election
-        self.handle_membership(self.membership, membership.SetCore(members))
+        self.handle_membership(self.membership, membership_events.SetCore(members))
         if known is not None and raft.leader_role is not None and quorate:
             data = membership_codec.encode_members(members, self.me)
-            self.handle_membership(self.membership, membership.Publish(membership.CORE, known.position, data))
+            self.handle_membership(
+                self.membership,
+                membership_events.Publish(ValueKind.CORE, FencingToken(*known.position), data),
+            )
         log.info("core %s, leader %s, quorate %s", members, raft.leader, quorate)
--- a/gateway/programs/drift_monitor.py
+++ b/gateway/programs/drift_monitor.py
@@ -14,6 +14,7 @@
 from gateway.drift.detector import CORE_NOT_HEARD, SAMPLE, DriftDetector
 from gateway.drift.live_check import CheckResult, LiveCheck, running_digest
 from gateway.drift.metrics import CONTENT_TYPE, Metric, render_metrics
+from gateway.membership.log_follower import ConfirmedConfig
 from gateway.programs.fleet_monitor import JSON, METRICS, STATUS
 from gateway.programs.quota_report import QUOTA_METRIC_PREFIX, QuotaReport
 from gateway.runtime.http_listener import HttpCall, Reply
@@ -35,7 +36,7 @@
     def clock(self) -> float:
         """Monotonic seconds."""
 
-    def confirmed(self, now: float) -> tuple[int, float] | None:
+    def confirmed_config(self, now: float) -> ConfirmedConfig | None:
         """The newest version by a majority of the core, and when that was confirmed; or None."""
 
     def fetch(self, version: int, holder: str, again: bool) -> None:
@@ -134,7 +135,7 @@
         if now < self.look_at <= now + CHECK_INTERVAL_S and not self.drift_detector.core_not_heard:
             return
         self.look_at = now + CHECK_INTERVAL_S
-        if (sure := self.node.confirmed(now)) is not None:
+        if (sure := self.node.confirmed_config(now)) is not None:
             self.handle_drift(drift_messages.NewestConfirmed(*sure))
         self.handle_drift(drift_messages.Tick())
         if self.live is None:
--- a/gateway/programs/proxy.py
+++ b/gateway/programs/proxy.py
@@ -7,7 +7,7 @@
 import random
 from typing import Any
 
-from gateway.membership import messages as membership
+from gateway.membership import events as membership_events
 from gateway.membership.membership_pb2 import Message as MembershipNote
 from gateway.programs import startup
 from gateway.programs.proxy_node import CONNECT_TIMEOUT_S, ProxyNode
@@ -80,7 +80,7 @@
     stop = startup.stop_on_signal(loop, reload.read)
     second = start_maintenance(loop, reload, ring)
     ticker = Ticker(
-        loop, TICK_S, lambda now: proxy.proxy_node.handle_membership(membership.Tick()), first=0.0
+        loop, TICK_S, lambda now: proxy.proxy_node.handle_membership(membership_events.Tick()), first=0.0
     )
     http_listener = HttpListener(loop, proxy.ready)
     listen = settings.network.listen
--- a/gateway/programs/proxy_node.py
+++ b/gateway/programs/proxy_node.py
@@ -14,9 +14,12 @@
 from gateway.config.routing import CompiledConfig
 from gateway.config.schema import Difference
 from gateway.drift.quota_windows import Windows, expected_windows, quota_differences
-from gateway.membership import messages as membership
+from gateway.membership import events as membership_events
+from gateway.membership import outputs as membership_outputs
+from gateway.membership.codec import decode_ingresses
+from gateway.membership.log_follower import ConfirmedConfig
 from gateway.membership.proxy import ProxyMembership
-from gateway.membership.wire import decode_ingresses
+from gateway.membership.types import Backend, ValueKind
 from gateway.programs import startup
 from gateway.programs.drift_monitor import DriftMonitor
 from gateway.programs.quota_report import ChargerReport
@@ -102,7 +105,7 @@
 
     def on_membership_message(self, sender: Address, note: Any) -> None:
         """A message of the membership plane has arrived."""
-        self.handle_membership(membership.Received(sender, note))
+        self.handle_membership(membership_events.Received(sender, note))
 
     def on_quota_message(self, sender: Address, note: Any) -> None:
         """A message of the quota plane has arrived."""
@@ -144,19 +147,19 @@
         for out in self.membership.handle(self.clock(), event):
             if isinstance(out, Send):
                 self.driver.send(out.to, MEMBERSHIP, out.message)
-            elif isinstance(out, membership.BackendAdded | membership.BackendChanged):
+            elif isinstance(out, membership_outputs.BackendAdded | membership_outputs.BackendChanged):
                 self.backend(out.backend)
-            elif isinstance(out, membership.BackendRemoved):
+            elif isinstance(out, membership_outputs.BackendRemoved):
                 self.ingress.backend(out.id, "", ("", 0), io.Phase.DELETED, 0.0)
-            elif isinstance(out, membership.Update):
+            elif isinstance(out, membership_outputs.ValueUpdated):
                 self.news(out)
-            elif isinstance(out, membership.ConfigAdvertised):
+            elif isinstance(out, membership_outputs.ConfigAdvertised):
                 self.drift_monitor.heard(*out)
-        if isinstance(event, membership.Tick):
+        if isinstance(event, membership_events.Tick):
             self.drift_monitor.tick()
             self.charger_report.tick(self.clock())
 
-    def backend(self, b: membership.Backend) -> None:
+    def backend(self, b: Backend) -> None:
         """A backend was added or has changed."""
         try:
             address = read_address(b.address)
@@ -165,20 +168,20 @@
             return
         phase = io.Phase.STOPPING if b.draining else io.Phase.RUNNING
         self.ingress.backend(
-            b.id, b.service, address, phase, max(0.0, b.cold_until - self.clock()), b.capacity, b.zone
+            b.id, b.service, address, phase, max(0.0, b.slow_start_until - self.clock()), b.capacity, b.zone
         )
 
     def seeds(self, addresses: tuple[Address, ...]) -> None:
         """The settings have other seeds."""
-        self.handle_membership(membership.SetSeeds(addresses))
+        self.handle_membership(membership_events.SetSeeds(addresses))
 
-    def news(self, news: membership.Update) -> None:
+    def news(self, news: membership_outputs.ValueUpdated) -> None:
         """A published value: the list of proxies, the shard map, or a configuration."""
-        if news.kind == membership.INGRESSES:
+        if news.kind == ValueKind.INGRESSES:
             self.ingress.proxy_peers(self.me, self.zone, decode_ingresses(news.data))
-        elif news.kind == membership.SHARD_MAP:
+        elif news.kind == ValueKind.SHARD_MAP:
             self.handle_quota(quota_events.ShardMapReceived(news.data))
-        elif news.kind == membership.CONFIG:
+        elif news.kind == ValueKind.CONFIG:
             version = news.fencing_token[1]
             again = self.drift_monitor.refetching
             if version > self.version or (again and version == self.version):
@@ -216,13 +219,13 @@
 
     # The interface `Node` of the drift monitor.
 
-    def confirmed(self, now: float) -> tuple[int, float] | None:
+    def confirmed_config(self, now: float) -> ConfirmedConfig | None:
         """The newest version by a majority of the core, and when that was confirmed; or None."""
-        return self.membership.confirmed(now)
+        return self.membership.confirmed_config(now)
 
     def fetch(self, version: int, holder: Address, again: bool) -> None:
         """Fetch a version of the configuration from `holder` (empty: the core)."""
-        self.handle_membership(membership.FetchConfig(version, holder, again))
+        self.handle_membership(membership_events.FetchConfig(version, holder, again))
 
     def rebuild(self, version: int, value: bytes) -> None:
         """Rebuild the compiled configuration from the value of a version."""
@@ -230,7 +233,9 @@
 
     def holds(self, version: int, digest: int, findings: int, finding: str) -> None:
         """Report the version and digest that run here, and the findings."""
-        self.handle_membership(membership.ConfigApplied(version, digest.to_bytes(8), findings, finding))
+        self.handle_membership(
+            membership_events.ConfigApplied(version, digest.to_bytes(8), findings, finding)
+        )
 
     def in_force(self, document: Document) -> list[Difference]:
         """Where limits and rate limit windows in force differ from the document."""
--- a/gateway/programs/startup.py
+++ b/gateway/programs/startup.py
@@ -39,7 +39,7 @@
 def membership_slot(note: Any) -> tuple[str, int] | None:
     """Slot of a queued message: later answers build on confirmed positions, values are the newest."""
     kind = note.WhichOneof("kind")
-    return (kind, note.value.kind) if kind == "value" else (kind, 0) if kind == "answer" else None
+    return (kind, note.value.kind) if kind == "value" else (kind, 0) if kind == "follow_reply" else None
 
 
 def zone_numbers(settings: Settings) -> dict[str, int]:
--- a/gateway/programs/status_report.py
+++ b/gateway/programs/status_report.py
@@ -83,9 +83,9 @@
                 "capacity": b.capacity,
                 "phase": "draining" if b.draining else "standing",
                 "call-seq": b.seq,
-                "cold-left-s": round(max(0.0, b.cold_until - now), 3),
+                "cold-left-s": round(max(0.0, b.slow_start_until - now), 3),
                 "lease-left-s": round(own[b.id].until - now, 3) if b.id in own else None,
-                "held-by": sorted(h or membership.address for h in row.holders),
+                "held-by": sorted(h or membership.address for h in row.lease_holders),
             }
             for b, row in ((row.backend, row) for _, row in sorted(membership.table.rows.items()))
         ],
--- a/gateway/proxy/ingress.py
+++ b/gateway/proxy/ingress.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import math
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from time import monotonic
 from typing import Any
 
@@ -264,7 +264,7 @@
         """Pass an input to the quota client's state machine."""
         self.submit(QuotaEvent(item))  # type: ignore[arg-type]
 
-    def proxy_peers(self, me: str, zone: int, ingresses: list[tuple[int, str]]) -> None:
+    def proxy_peers(self, me: str, zone: int, ingresses: Sequence[tuple[int, str]]) -> None:
         """Set the zone number and address of all ingresses; this one (`me`) may not be among them yet."""
         zone_peers = [address for its, address in ingresses if its == zone]
         place = zone_peers.index(me) if me in zone_peers else -1
--- a/gateway/quota/outputs.py
+++ b/gateway/quota/outputs.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from gateway.state_machine import Send
+from gateway.state_machine import FencingToken, Send
 
 OVER_ALLOWANCE = "over the allowance"
 """Reason of a rejection: the tenant has used its allowance up."""
@@ -22,13 +22,6 @@
     reason: str = ""
 
 
-class FencingToken(NamedTuple):
-    """Orders grants and shard maps: by term, and within a term by number."""
-
-    term: int
-    number: int
-
-
 class PublishShardMap(NamedTuple):
     """A new shard map for all quota clients, newer than any with a lower fencing token."""
 
--- a/gateway/quota/shard_assigner.py
+++ b/gateway/quota/shard_assigner.py
@@ -6,10 +6,10 @@
 from typing import NamedTuple, assert_never
 
 from gateway.quota.events import AssignerEvent, LeadershipChange, LiveControllers, Received, Tick
-from gateway.quota.outputs import AssignerOutput, FencingToken, PublishShardMap
+from gateway.quota.outputs import AssignerOutput, PublishShardMap
 from gateway.quota.protocol import ALL_SHARDS, LEASE_MARGIN_S, LEASE_S, SHARDS
 from gateway.quota.quota_pb2 import LeaseGrant, LeaseRequest, Message, ShardMap
-from gateway.state_machine import Address, Send
+from gateway.state_machine import Address, FencingToken, Send
 
 PRESENT_S = 1.0  # a candidate that requested its lease this lately is present
 STABLE_S = 2.0  # after this long without a gap in its requests, shards are moved to it from other owners
--- a/gateway/quota/shard_lease.py
+++ b/gateway/quota/shard_lease.py
@@ -7,10 +7,9 @@
 
 from typing import NamedTuple
 
-from gateway.quota.outputs import FencingToken
 from gateway.quota.protocol import LEASE_RENEW_S, LEASE_S, SHARDS
 from gateway.quota.quota_pb2 import LeaseGrant, LeaseRequest, Message
-from gateway.state_machine import Address, Send
+from gateway.state_machine import Address, FencingToken, Send
 
 LEASE_RETRY_S = 0.1  # to the next request for the lease when no grant has come
 
--- a/gateway/state_machine.py
+++ b/gateway/state_machine.py
@@ -1,15 +1,27 @@
-"""Types shared by the state machines of all planes: process addresses, and the output `Send`."""
+"""Types shared by the state machines of all planes: addresses, fencing tokens, and the output `Send`."""
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
+
+from google.protobuf.message import Message
 
 Address = str
 """`ip:port` of a process's own port, where it receives messages of other processes (UDP and TCP)."""
 
 
+class FencingToken(NamedTuple):
+    """Orders what successive leaders publish and grant: by term, and within a term by number.
+
+    A configuration has term 0 and its version as number.
+    """
+
+    term: int
+    number: int
+
+
 class Send(NamedTuple):
     """Send a protobuf message to another process. It may be lost, delayed or duplicated."""
 
     to: Address
-    message: Any
+    message: Message
--- a/simulation/capacity/former_names.py
+++ b/simulation/capacity/former_names.py
@@ -31,6 +31,8 @@
     RenamedKind("agreement", "hint", "leader_hint"),
     RenamedKind("agreement", "gone", "removed"),
     RenamedKind("agreement", "begun", "restarted"),
+    RenamedKind("membership", "ask", "value_request"),
+    RenamedKind("membership", "answer", "follow_reply"),
     RenamedKind("membership", "swap", "shuffle_request"),
     RenamedKind("membership", "swapped", "shuffle_reply"),
     RenamedKind("quota", "alive", "client_heartbeat"),
--- a/simulation/model/processes.py
+++ b/simulation/model/processes.py
@@ -8,7 +8,7 @@
 
 from gateway.consensus import events as consensus_events
 from gateway.consensus.entry import PersistentState
-from gateway.membership import messages as membership
+from gateway.membership import events as membership_events
 from gateway.programs import proxy_node as proxy_node_module
 from gateway.programs.controller_node import ControllerNode
 from gateway.programs.proxy import BACKEND_IDLE_S, BODY_MEMORY_DIVISOR, RESERVED_DESCRIPTORS, SILENT_S
@@ -28,7 +28,7 @@
 
 CONTROLLER_TICK_S = 0.025
 PROXY_TICK_S = 0.05
-TICK = membership.Tick()
+TICK = membership_events.Tick()
 
 
 class ProcessEnvironment(ConnectionEnvironment, Protocol):
--- a/tests/gateway/cli/test_operator_commands.py
+++ b/tests/gateway/cli/test_operator_commands.py
@@ -13,7 +13,7 @@
 from gateway.cli.control_client import NO_ANSWER, Answer
 from gateway.consensus import quorum
 from gateway.membership.controller import ControllerMembership
-from gateway.membership.messages import Heartbeat, SetCore
+from gateway.membership.events import Heartbeat, SetCore
 from gateway.programs import status_report
 from tests.gateway.consensus.consensus_cluster import ConsensusCluster, finish
 
--- a/tests/gateway/drift/drift_network.py
+++ b/tests/gateway/drift/drift_network.py
@@ -8,14 +8,14 @@
 
 from gateway.config.digest import ExpectedDigests
 from gateway.config.orders import ConfigState, decide
-from gateway.membership import messages as m
-from gateway.membership import wire
+from gateway.membership import codec, events, outputs
 from gateway.membership.controller import ControllerMembership
+from gateway.membership.types import ValueKind
 from gateway.programs.fleet_monitor import FleetMonitor
 from gateway.programs.proxy_node import ProxyNode
 from gateway.programs.startup import MEMBERSHIP
 from gateway.runtime import settings as files
-from gateway.state_machine import Send
+from gateway.state_machine import FencingToken, Send
 from ingress.net.connection_interfaces import USUAL
 
 TICK_S = 0.05
@@ -123,9 +123,9 @@
 
     def handle(self, now, event):
         outs = self.membership.handle(now, event)
-        for runs in [o for o in outs if isinstance(o, m.RunningConfig)]:
+        for runs in [o for o in outs if isinstance(o, outputs.RunningConfig)]:
             self.fleet_monitor.runs(now, *runs)
-        if isinstance(event, m.Tick):
+        if isinstance(event, events.Tick):
             self.fleet_monitor.tick(now, True, lambda: self.fleet_monitor.quota_windows)
         return [o for o in outs if isinstance(o, Send)]
 
@@ -142,12 +142,14 @@
             for i in range(proxies)
         }
         for address in self.nodes:
-            self.later(self.rng.uniform(0, TICK_S), address, m.Tick())
+            self.later(self.rng.uniform(0, TICK_S), address, events.Tick())
         for address in CONTROLLER_ADDRESSES:
-            self.give(address, m.SetCore(tuple(CONTROLLER_ADDRESSES)))
+            self.give(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
         self.give(
             CONTROLLER_ADDRESSES[0],
-            m.Publish(m.CORE, (1, 1), wire.encode_members(CONTROLLER_ADDRESSES, CONTROLLER_ADDRESSES[0])),
+            events.Publish(
+                ValueKind.CORE, (1, 1), codec.encode_members(CONTROLLER_ADDRESSES, CONTROLLER_ADDRESSES[0])
+            ),
         )
 
     def clock(self):
@@ -165,13 +167,13 @@
         for out in self.nodes[address].handle(self.now, event):
             kind = out.message.WhichOneof("kind")
             if out.to in self.nodes and not self.cut(address, out.to, kind):
-                self.later(0.002, out.to, m.Received(address, copy.copy(out.message)))
+                self.later(0.002, out.to, events.Received(address, copy.copy(out.message)))
 
     def run(self, seconds):
         end = self.now + seconds
         while self.due and self.due[0][0] <= end:
             self.now, _, address, event = heapq.heappop(self.due)
-            tick = isinstance(event, m.Tick)
+            tick = isinstance(event, events.Tick)
             if address not in self.asleep:
                 self.give(address, event)
             elif not tick:
@@ -190,7 +192,10 @@
         """The core has acknowledged a version."""
         digest = ExpectedDigests(config_state.document).total.to_bytes(8)
         for address in addresses:
-            self.give(address, m.Publish(m.CONFIG, (0, version), config_state.encode(), digest))
+            self.give(
+                address,
+                events.Publish(ValueKind.CONFIG, FencingToken(0, version), config_state.encode(), digest),
+            )
             self.nodes[address].fleet_monitor.config_applied(
                 self.now, version, int.from_bytes(digest), config_state.document
             )
--- a/tests/gateway/drift/test_drift_fleet.py
+++ b/tests/gateway/drift/test_drift_fleet.py
@@ -3,7 +3,9 @@
 import pytest
 
 from gateway.config.orders import decide
-from gateway.membership import messages as m
+from gateway.membership import events
+from gateway.membership.types import ValueKind
+from gateway.state_machine import FencingToken
 from tests.gateway.drift.drift_network import (
     CONTROLLER_ADDRESSES,
     FleetNetwork,
@@ -52,8 +54,10 @@
     net.run(2)
     net.put(3, THIRD, CONTROLLER_ADDRESSES[1:])  # this one has begun anew, and knows the first version only
     old = net.nodes[CONTROLLER_ADDRESSES[0]] = SimulatedController(net, CONTROLLER_ADDRESSES[0])
-    net.give(CONTROLLER_ADDRESSES[0], m.SetCore(tuple(CONTROLLER_ADDRESSES)))
-    net.give(CONTROLLER_ADDRESSES[0], m.Publish(m.CONFIG, (0, 1), FIRST.encode(), b""))
+    net.give(CONTROLLER_ADDRESSES[0], events.SetCore(tuple(CONTROLLER_ADDRESSES)))
+    net.give(
+        CONTROLLER_ADDRESSES[0], events.Publish(ValueKind.CONFIG, FencingToken(0, 1), FIRST.encode(), b"")
+    )
     net.run(3)
     assert old.membership.log.followers and {tuple(s.versions) for s in net.proxies} == {(0, 1, 2, 3)}
     assert all(
@@ -74,7 +78,7 @@
     net.put(3, THIRD)
     net.run(3)
     net.asleep.clear()
-    sleeper.proxy_node.handle_membership(m.Tick())  # a request comes before any word of the core
+    sleeper.proxy_node.handle_membership(events.Tick())  # a request comes before any word of the core
     assert sleeper.ask() is None and sleeper.versions == [0, 1]
     net.run(1.5)
     assert sleeper.ask() == 200 and sleeper.proxy_node.version == 3 and sleeper.findings() == []
--- a/tests/gateway/membership/membership_network.py
+++ b/tests/gateway/membership/membership_network.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 
-from gateway.membership import messages as m
+from gateway.membership import events, outputs
 from gateway.membership.controller import ControllerMembership
 from gateway.membership.proxy import ProxyMembership
 from gateway.state_machine import Send
@@ -24,7 +24,7 @@
 
     def add(self, address, node):
         self.nodes[address], self.outs[address] = node, []
-        self.later(self.rng.uniform(0, TICK_S), address, m.Tick())
+        self.later(self.rng.uniform(0, TICK_S), address, events.Tick())
 
     def later(self, wait, address, event):
         self.count += 1
@@ -42,7 +42,7 @@
             self.sent[address] = self.sent.get(address, 0) + 1
             self.bytes[address] = self.bytes.get(address, 0) + len(data)
             if out.to in self.nodes and not self.cut(address, out.to) and self.rng.random() >= self.loss:
-                self.later(0.002, out.to, m.Received(address, type(out.message).FromString(data)))
+                self.later(0.002, out.to, events.Received(address, type(out.message).FromString(data)))
 
     def run(self, seconds):
         """Let time pass."""
@@ -50,7 +50,7 @@
         while self.due and self.due[0][0] <= end:
             self.now, _, address, event = heapq.heappop(self.due)
             self.give(address, event)
-            if isinstance(event, m.Tick):
+            if isinstance(event, events.Tick):
                 self.later(TICK_S, address, event)
         self.now = end
 
@@ -69,12 +69,12 @@
                 address, number, CONTROLLER_ADDRESSES, 1.3, random.Random(self.rng.random())
             ),
         )
-        self.give(address, m.SetCore(tuple(CONTROLLER_ADDRESSES)))
+        self.give(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
 
     def beat(self, address, id, seq, draining=False, at="10.9.0.1:80", cold=0.0):
         """A backend's beat; returns its token."""
         token = f"{id}/{seq}"
-        self.give(address, m.Heartbeat(token, id, "nomgate", at, "kgn-a", "v1", 2, draining, cold, seq))
+        self.give(address, events.Heartbeat(token, id, "nomgate", at, "kgn-a", "v1", 2, draining, cold, seq))
         return token
 
     def table(self, address):
@@ -92,7 +92,7 @@
         kinds = [
             type(o).__name__
             for o in self.outs[address]
-            if isinstance(o, m.Acknowledged | m.Rejected) and o.token == token
+            if isinstance(o, outputs.Acknowledged | outputs.Rejected) and o.token == token
         ]
         assert len(kinds) < 2
         return kinds[0] if kinds else ""
--- a/tests/gateway/membership/test_backend_removal.py
+++ b/tests/gateway/membership/test_backend_removal.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gateway.membership import messages as m
+from gateway.membership import events, outputs
 from tests.gateway.membership.membership_network import CONTROLLER_ADDRESSES, system
 
 P1, P2, P3 = CONTROLLER_ADDRESSES
@@ -18,7 +18,7 @@
     for seq in range(1, 4):
         net.beat(P1, "i-1", seq)
         net.run(1.0)
-    net.give(P2, m.Deregistration("end", "i-1"))
+    net.give(P2, events.Deregistration("end", "i-1"))
     assert net.answer(P2, "end") == ""  # not before a majority has it
     net.run(0.1)
     assert net.answer(P2, "end") == "Acknowledged" and not any(net.table(a) for a in net.nodes)
@@ -26,7 +26,7 @@
     token = net.beat(at, "i-1", 4)  # sent before the end, to whomever
     net.run(1.0)
     assert net.answer(at, token) == "Acknowledged" and not any(net.table(a) for a in net.nodes)
-    assert all(len(net.got(a, m.BackendAdded)) == 1 for a in proxies)
+    assert all(len(net.got(a, outputs.BackendAdded)) == 1 for a in proxies)
 
 
 def test_an_end_that_no_majority_has_is_refused():
@@ -35,7 +35,7 @@
     net.run(0.5)
     net.kill(P2)
     net.kill(P3)
-    net.give(P1, m.Deregistration("end", "i-1"))
+    net.give(P1, events.Deregistration("end", "i-1"))
     net.run(0.8)
     assert net.answer(P1, "end") == "Rejected"
 
@@ -47,7 +47,7 @@
     net.cut = (
         lambda a, b: P3 in (a, b) and a in CONTROLLER_ADDRESSES and b in CONTROLLER_ADDRESSES
     )  # proxies hear it
-    net.give(P1, m.Deregistration("end", "i-1"))
+    net.give(P1, events.Deregistration("end", "i-1"))
     net.run(0.5)
     assert net.answer(P1, "end") == "Acknowledged"
     net.beat(P3, "i-1", 2)  # it has the lease now, as far as it knows
@@ -56,7 +56,7 @@
     net.cut = lambda a, b: False
     net.run(1.5)
     assert not any(net.table(a) for a in net.nodes) and not net.nodes[P3].leases.leases
-    assert len(net.got(proxy, m.BackendAdded)) == 1
+    assert len(net.got(proxy, outputs.BackendAdded)) == 1
 
 
 def test_one_that_missed_the_draining_does_not_end_it_by_a_late_beat():
@@ -79,14 +79,14 @@
     net, proxies = system()
     net.beat(P1, "i-1", 1)
     net.run(0.5)
-    net.give(P1, m.Deregistration("end", "i-1"))
+    net.give(P1, events.Deregistration("end", "i-1"))
     net.run(0.5)
     net.kill(P3)
     net.controller(P3)
     net.beat(P3, "i-1", 2)
     net.run(0.5)
     assert not any(net.table(a) for a in net.nodes)
-    assert all(len(net.got(a, m.BackendAdded)) == 1 for a in proxies)
+    assert all(len(net.got(a, outputs.BackendAdded)) == 1 for a in proxies)
 
 
 def test_a_backend_that_drains_for_long_is_known_as_draining_all_the_while():
@@ -106,9 +106,9 @@
     net.beat(P1, "i-1", 1)
     net.run(0.5)
     for address in (P1, P2, P1):
-        net.give(address, m.Deregistration(f"end at {address} {net.now}", "i-1"))
+        net.give(address, events.Deregistration(f"end at {address} {net.now}", "i-1"))
         net.run(0.2)
     token = net.beat(P2, "i-1", 9, draining=True)
     net.run(0.2)
     assert net.answer(P2, token) == "Acknowledged" and not net.table(P2)
-    assert len(net.got(P1, m.Acknowledged)) == 3 and not net.got(P1, m.Rejected)
+    assert len(net.got(P1, outputs.Acknowledged)) == 3 and not net.got(P1, outputs.Rejected)
--- a/tests/gateway/membership/test_change_log.py
+++ b/tests/gateway/membership/test_change_log.py
@@ -8,9 +8,9 @@
 import pytest
 
 from gateway.membership.change_log import ChangeLog
+from gateway.membership.codec import EndRecord, LeaseRecord, ValueRecord
 from gateway.membership.log_follower import LogFollower
-from gateway.membership.messages import CONFIG, Backend
-from gateway.membership.wire import EndRecord, LeaseRecord, ValueRecord
+from gateway.membership.types import Backend, ValueKind
 from gateway.state_machine import Send
 
 SOURCE, THINGS, TICK_S, FORGOTTEN_S = "10.0.0.1:1", 100, 0.05, 3.0
@@ -44,7 +44,7 @@
         self.version = self.away = 0
 
     def take(self, answer: Any) -> None:
-        sends, news = self.follower.answered(self.net.now, SOURCE, answer)
+        sends, news = self.follower.on_follow_reply(self.net.now, SOURCE, answer)
         self.net.carry(self.address, sends)
         for record in news.records if news else ():
             if isinstance(record, ValueRecord):
@@ -75,7 +75,7 @@
         self.log = self.log_class(self.rng)
         self.unheard = list(self.truth.items())
         self.rng.shuffle(self.unheard)
-        self.log.put(CONFIG, ValueRecord(CONFIG, (0, self.version), b"", None))
+        self.log.put(ValueKind.CONFIG, ValueRecord(ValueKind.CONFIG, (0, self.version), b"", None))
 
     def change(self) -> None:
         """A backend comes, changes or ends, or another version is in force."""
@@ -83,7 +83,7 @@
         what = self.rng.random()
         if what < 0.1:
             self.version += 1
-            self.log.put(CONFIG, ValueRecord(CONFIG, (0, self.version), b"", None))
+            self.log.put(ValueKind.CONFIG, ValueRecord(ValueKind.CONFIG, (0, self.version), b"", None))
             return
         id = f"b{self.rng.randrange(THINGS)}"
         self.unheard = [u for u in self.unheard if u[0] != id]
@@ -110,9 +110,9 @@
         self.under_way = [m for m in self.under_way if m[0] > self.now]
         for _, sender, (to, note) in due:
             if sender:
-                self.carry(SOURCE, self.log.followed(self.now, sender, note.follow))
+                self.carry(SOURCE, self.log.on_follow(self.now, sender, note.follow))
             elif not self.mirrors[to].away:
-                self.mirrors[to].take(note.answer)
+                self.mirrors[to].take(note.follow_reply)
         if self.unheard:
             self.list(self.unheard.pop()[0])
         self.carry(SOURCE, self.log.tick(self.now))
--- a/tests/gateway/membership/test_heartbeat_target.py
+++ b/tests/gateway/membership/test_heartbeat_target.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from gateway.membership import change_log, heartbeat_target
-from gateway.membership import messages as m
+from gateway.membership import change_log, events, heartbeat_target, outputs
 from gateway.membership.controller import ControllerMembership
 from gateway.membership.heartbeat_target import OUT_OF_CONTACT_S, SUGGEST_AGAIN_S
 from gateway.membership.proxy import ProxyMembership
@@ -22,7 +21,7 @@
     for number, address in enumerate(CONTROLLER_ADDRESSES, 1):
         rng = random.Random(number)
         net.add(address, ControllerMembership(address, number, CONTROLLER_ADDRESSES, HEARTBEAT_S, rng, ZONES))
-        net.give(address, m.SetCore(tuple(CONTROLLER_ADDRESSES)))
+        net.give(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
     for n in range(proxies):
         address = f"10.{n % 3 + 1}.1.{n + 1}:7660"
         net.add(address, ProxyMembership(address, n % 3 + 1, CONTROLLER_ADDRESSES, random.Random(n)))
@@ -35,8 +34,8 @@
 ) -> str | None:
     """Where a heartbeat's acknowledgement sends the next ones; None without an acknowledgement yet."""
     address = f"10.9.0.{int(id[2:])}:80"
-    net.give(at, m.Heartbeat((id, seq), id, "nomgate", address, zone, "v1", 2, draining, 0.0, seq))
-    return next((a.target for a in net.got(at, m.Acknowledged) if a.token == (id, seq)), None)
+    net.give(at, events.Heartbeat((id, seq), id, "nomgate", address, zone, "v1", 2, draining, 0.0, seq))
+    return next((a.target for a in net.got(at, outputs.Acknowledged) if a.token == (id, seq)), None)
 
 
 def test_the_member_in_the_backends_zone_is_named_and_names_itself() -> None:
@@ -64,12 +63,12 @@
 
 def test_a_controller_out_of_contact_sends_backends_elsewhere_and_a_short_gap_does_not() -> None:
     net = zoned()
-    net.give(P1, m.SetQuorate(net.now))
+    net.give(P1, events.SetQuorumContact(net.now))
     net.run(OUT_OF_CONTACT_S / 2)
     assert target(net, P1, "i-1", 1, "kgn-a") == P1
     net.run(OUT_OF_CONTACT_S)
     assert {target(net, P1, f"i-{n}", 2, "kgn-a") for n in range(1, 20)} == {P2, P3}
-    net.give(P1, m.SetQuorate(net.now + 100))
+    net.give(P1, events.SetQuorumContact(net.now + 100))
     net.run(0.1)
     assert target(net, P1, "i-1", 3, "kgn-a") == P1
 
@@ -79,7 +78,7 @@
     target(net, P1, "i-1", 1, "kgn-a")
     assert target(net, P1, "i-1", 2, "kgn-a", draining=True) is None
     net.run(0.1)
-    assert [a.target for a in net.got(P1, m.Acknowledged)] == [""]
+    assert [a.target for a in net.got(P1, outputs.Acknowledged)] == [""]
 
 
 def test_what_is_remembered_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -116,11 +115,11 @@
     net, (proxy, _) = system()
     pushed = {P2: 0, proxy: 0}
     for n in range(50):
-        before = {to: net.nodes[P1].log.followers[to].sent for to in pushed}
+        before = {to: net.nodes[P1].log.followers[to].sent_position for to in pushed}
         net.beat(P1, f"i-{n}", 1, at=f"10.9.1.{n}:80")
         net.run(0.02)
         for to, position in before.items():
-            pushed[to] += net.nodes[P1].log.followers[to].sent != position
+            pushed[to] += net.nodes[P1].log.followers[to].sent_position != position
     assert pushed[proxy] <= 1.0 / change_log.INGRESS_PUSH_INTERVAL_S + 4 < pushed[P2]
     net.run(change_log.INGRESS_PUSH_INTERVAL_S + 0.1)
     assert len(net.table(proxy)) == 50
--- a/tests/gateway/membership/test_membership.py
+++ b/tests/gateway/membership/test_membership.py
@@ -3,11 +3,11 @@
 import random
 from math import inf
 
-from gateway.membership import messages as m
-from gateway.membership import wire
+from gateway.membership import codec, events, outputs
 from gateway.membership.change_log import ChangeLog
 from gateway.membership.log_follower import LogFollower
-from gateway.state_machine import Send
+from gateway.membership.types import Backend, ValueKind
+from gateway.state_machine import FencingToken, Send
 from tests.gateway.membership.membership_network import CONTROLLER_ADDRESSES, system
 
 P1, P2, P3 = CONTROLLER_ADDRESSES
@@ -19,12 +19,14 @@
         net.beat(P1, "i-1", seq, cold=max(0.0, 5.0 - 1.3 * seq))
         net.run(1.3)
     assert all(set(net.table(a)) == {"i-1"} for a in net.nodes)
-    assert len(net.got(proxies[0], m.BackendAdded)) == 1 and not net.got(proxies[0], m.BackendChanged)
+    assert len(net.got(proxies[0], outputs.BackendAdded)) == 1 and not net.got(
+        proxies[0], outputs.BackendChanged
+    )
     net.run(2.0)
     assert "i-1" in net.table(proxies[0])
     net.run(1.5)
     assert all(not net.table(a) for a in net.nodes)
-    assert net.got(proxies[0], m.BackendRemoved) == [m.BackendRemoved("i-1")]
+    assert net.got(proxies[0], outputs.BackendRemoved) == [outputs.BackendRemoved("i-1")]
 
 
 def test_slow_starts_and_names_cross_the_wire_as_what_is_left():
@@ -33,7 +35,7 @@
     net.run(0.5)
     b = net.table(proxies[0])["i-1"]
     assert b[1:6] == ("nomgate", "10.9.0.1:80", "kgn-a", "v1", 2)
-    assert abs(b.cold_until - net.now - 3.5) < 0.1 and abs(net.now - b.since - 0.5) < 0.2
+    assert abs(b.slow_start_until - net.now - 3.5) < 0.1 and abs(net.now - b.first_heard_at - 0.5) < 0.2
 
 
 def test_draining_is_acknowledged_when_a_majority_has_it():
@@ -45,7 +47,7 @@
     net.run(0.02)
     assert net.answer(P1, token) == "Acknowledged"
     assert all(net.table(a)["i-1"].draining for a in proxies)
-    net.give(P1, m.Deregistration("end", "i-1"))
+    net.give(P1, events.Deregistration("end", "i-1"))
     net.run(0.1)
     assert net.answer(P1, "end") == "Acknowledged" and not net.table(proxies[0])
     net.beat(P2, "i-1", 3)  # later beats are late ones
@@ -100,7 +102,7 @@
         net.beat(P2, "i-1", seq)
         net.run(1.3)
     for a in proxies:
-        assert len(net.got(a, m.BackendAdded)) == 1 and not net.got(a, m.BackendRemoved)
+        assert len(net.got(a, outputs.BackendAdded)) == 1 and not net.got(a, outputs.BackendRemoved)
     net.run(5.0)
     assert not net.table(proxies[0])
 
@@ -146,7 +148,7 @@
         net.beat(P3, "i-1", seq)
         net.run(1.0)
     assert all(set(net.table(a)) == {"i-1"} for a in net.nodes)
-    assert not [g for a in proxies for g in net.got(a, m.BackendRemoved) if g.id == "i-1"]
+    assert not [g for a in proxies for g in net.got(a, outputs.BackendRemoved) if g.id == "i-1"]
 
 
 def test_one_that_is_cut_off_takes_no_silence_for_an_end():
@@ -154,16 +156,16 @@
     net.beat(P1, "i-1", 1)
     net.run(0.5)
     net.cut = lambda a, b: (a in (P1, proxy)) != (b in (P1, proxy))
-    net.give(P1, m.SetQuorate(net.now))
+    net.give(P1, events.SetQuorumContact(net.now))
     for seq in range(2, 8):
         net.beat(P2, "i-1", seq)
         net.run(1.3)
     assert "i-1" in net.table(proxy)
     net.cut = lambda a, b: False
-    net.give(P1, m.SetQuorate(inf))
+    net.give(P1, events.SetQuorumContact(inf))
     net.run(1.3)
     assert net.table(proxy)["i-1"].seq == 2 and net.nodes[P1].log.get("i-1").id == "i-1"
-    assert not net.got(proxy, m.BackendRemoved)
+    assert not net.got(proxy, outputs.BackendRemoved)
 
 
 def test_late_beats_change_nothing():
@@ -192,7 +194,7 @@
     net.beat(P3, "i-1", 5)  # sent before its end
     net.run(0.5)
     assert all(set(net.table(a)) == {"i-2"} for a in net.nodes)
-    assert net.got(proxy, m.BackendRemoved) == [m.BackendRemoved("i-1")]
+    assert net.got(proxy, outputs.BackendRemoved) == [outputs.BackendRemoved("i-1")]
 
 
 def test_beats_that_cannot_be_told_on_are_refused():
@@ -207,34 +209,41 @@
     net, proxies = system(proxies=3)
     value = b"route" * 20_000
     for address in CONTROLLER_ADDRESSES:
-        net.give(address, m.Publish(m.CONFIG, (0, 7), value, b"digest-7"))
-        net.give(address, m.Publish(m.CORE, (1, 1), wire.encode_members(CONTROLLER_ADDRESSES, P1)))
+        net.give(address, events.Publish(ValueKind.CONFIG, FencingToken(0, 7), value, b"digest-7"))
+        net.give(
+            address,
+            events.Publish(
+                ValueKind.CORE, FencingToken(1, 1), codec.encode_members(CONTROLLER_ADDRESSES, P1)
+            ),
+        )
     net.bytes.clear()
     net.run(1.0)
     for a in proxies:
-        news = {n.kind: n for n in net.got(a, m.Update)}
-        assert news[m.CONFIG] == m.Update(m.CONFIG, (0, 7), value, b"digest-7")
-        assert wire.decode_members(news[m.CORE].data) == (tuple(CONTROLLER_ADDRESSES), P1)
-    packed = len(wire.value_note(wire.ValueRecord(m.CONFIG, (0, 7), b"", value)).SerializeToString())
+        news = {n.kind: n for n in net.got(a, outputs.ValueUpdated)}
+        assert news[ValueKind.CONFIG] == outputs.ValueUpdated(ValueKind.CONFIG, (0, 7), value, b"digest-7")
+        assert codec.decode_members(news[ValueKind.CORE].data) == (tuple(CONTROLLER_ADDRESSES), P1)
+    packed = len(
+        codec.value_message(codec.ValueRecord(ValueKind.CONFIG, (0, 7), b"", value)).SerializeToString()
+    )
     assert all(packed < net.bytes[p] < 2 * packed + 2000 for p in CONTROLLER_ADDRESSES)
 
 
 def test_a_value_that_one_source_does_not_send_comes_from_another():
     net, (proxy, _) = system()
     for address in CONTROLLER_ADDRESSES:
-        net.give(address, m.Publish(m.CONFIG, (0, 7), b"route" * 200, b"digest-7"))
+        net.give(address, events.Publish(ValueKind.CONFIG, FencingToken(0, 7), b"route" * 200, b"digest-7"))
     net.nodes[P1].value_store.newest_by_kind.clear()  # as if its answers were lost
     net.run(1.5)
-    assert [n.fencing_token for n in net.got(proxy, m.Update)] == [(0, 7)]
-    net.give(P2, m.Publish(m.CONFIG, (0, 6), b"older", b""))
+    assert [n.fencing_token for n in net.got(proxy, outputs.ValueUpdated)] == [(0, 7)]
+    net.give(P2, events.Publish(ValueKind.CONFIG, FencingToken(0, 6), b"older", b""))
     net.run(1.0)
-    assert not net.got(proxy, m.Update)
+    assert not net.got(proxy, outputs.ValueUpdated)
 
 
 def test_proxies_follow_the_members_of_the_core_and_find_them_from_the_seeds():
     net, (proxy, _) = system()
     net.cut = lambda a, b: {a, b} == {P1, proxy}  # another controller hands it on
-    net.give(P1, m.Publish(m.CORE, (1, 2), wire.encode_members([P1, P2], P2)))
+    net.give(P1, events.Publish(ValueKind.CORE, FencingToken(1, 2), codec.encode_members([P1, P2], P2)))
     net.run(0.5)
     net.cut = lambda a, b: False
     assert set(net.nodes[proxy].follower.sources) == {P1, P2}
@@ -242,7 +251,7 @@
     net.kill(P2)
     net.run(6.0)
     assert P3 in net.nodes[proxy].follower.sources  # a seed, as nobody else is there
-    net.give(P3, m.Publish(m.CORE, (2, 3), wire.encode_members([P3], P3)))
+    net.give(P3, events.Publish(ValueKind.CORE, FencingToken(2, 3), codec.encode_members([P3], P3)))
     net.run(1.0)
     assert set(net.nodes[proxy].follower.sources) == {P3}
 
@@ -252,7 +261,7 @@
     follower.follow(5.0, ["a"])
     asked = [t for t in range(500, 900) if follower.tick(t / 100)]
     assert 19 <= len([t for t in asked if t < 700]) <= 21 and len([t for t in asked if t >= 720]) <= 5
-    follower.sources["a"].heard = 9.0
+    follower.sources["a"].last_heard_at = 9.0
     assert sum(bool(follower.tick(t / 100)) for t in range(900, 1100)) <= 6
 
 
@@ -267,22 +276,22 @@
             if lost:
                 continue
             if kind == "follow":
-                sends += log.followed(now, "proxy", note.follow)
+                sends += log.on_follow(now, "proxy", note.follow)
             else:
-                out, told = follower.answered(now, "post", note.answer)
+                out, told = follower.on_follow_reply(now, "post", note.follow_reply)
                 sends += [Send(s.to, s.message) for s in out]
                 lines.extend(f"     {record}" for record in told.records if told)
 
-    backend = m.Backend("i-1", "nomgate", "10.9.0.1:80", "kgn-a", "v1", 2, seq=4, since=1.0)
+    backend = Backend("i-1", "nomgate", "10.9.0.1:80", "kgn-a", "v1", 2, seq=4, first_heard_at=1.0)
     follower.follow(10.0, ["post"])
     exchange(10.0, follower.tick(10.0))
-    log.put("i-1", wire.LeaseRecord(backend))
+    log.put("i-1", codec.LeaseRecord(backend))
     exchange(10.1, log.push(10.1))
-    log.put("i-1", wire.LeaseRecord(backend._replace(draining=True, seq=5)))
+    log.put("i-1", codec.LeaseRecord(backend._replace(draining=True, seq=5)))
     exchange(10.2, log.push(10.2), lost=True)
     exchange(10.3, log.tick(10.3))
     exchange(10.46, log.tick(10.46))
-    log.put("i-1", wire.EndRecord("i-1", 5, until=40.0))
+    log.put("i-1", codec.EndRecord("i-1", 5, until=40.0))
     log.tick(50.0)  # the follower was away for longer than an end is remembered
     exchange(50.0, follower.tick(50.0))
     assert "\n".join(lines) == snapshot
--- a/tests/gateway/membership/test_peer_view.py
+++ b/tests/gateway/membership/test_peer_view.py
@@ -5,8 +5,9 @@
 import pytest
 
 from gateway.membership.membership_pb2 import Message
-from gateway.membership.messages import PROXY, ConfigAdvertised, CoreMembers
+from gateway.membership.outputs import ConfigAdvertised, CoreMembers
 from gateway.membership.peer_view import PeerView
+from gateway.membership.types import Role
 from gateway.state_machine import Send
 
 STEP_S = 0.05
@@ -23,7 +24,7 @@
         self.rng, self.loss, self.now = random.Random(seed), loss, 0.0
         seeds = [address(n) for n in range(3)]
         self.views = {
-            address(n): PeerView(address(n), PROXY, n % 3, seeds, random.Random(n * 7 + seed))
+            address(n): PeerView(address(n), Role.PROXY, n % 3, seeds, random.Random(n * 7 + seed))
             for n in range(count)
         }
         self.cut = lambda a, b: False
@@ -38,9 +39,9 @@
             for sender, to, data in due:
                 note = Message.FromString(data)
                 kind = note.WhichOneof("kind")
-                view, answer = self.views.get(to), kind == "shuffle_reply"
+                view = self.views.get(to)
                 if view is not None:
-                    self._take(to, view.received(self.now, sender, getattr(note, kind), answer))
+                    self._take(to, getattr(view, f"on_{kind}")(sender, getattr(note, kind)))
             for a, view in self.views.items():
                 self._take(a, view.tick(self.now))
         return self.now - start
@@ -56,7 +57,7 @@
                 self.due.append((sender, out.to, data))
 
     def knows(self, version):
-        return sum(v.newest.version >= version for v in self.views.values())
+        return sum(v.newest_config.version >= version for v in self.views.values())
 
 
 @pytest.mark.parametrize(("count", "loss", "within"), [(14, 0.0, 2.0), (100, 0.1, 5.0), (1000, 0.0, 5.0)])
@@ -71,7 +72,7 @@
     crowd.views[address(5)].set_current_config(7, b"digest 7")
     passed = crowd.run(within, lambda: crowd.knows(7) == count)
     assert crowd.knows(7) == count and crowd.sent / count / passed < 8
-    assert {out for _, out in crowd.heard if out.holder} == {ConfigAdvertised(7, b"digest 7", address(5))}
+    assert {out for _, out in crowd.heard if out.source} == {ConfigAdvertised(7, b"digest 7", address(5))}
 
 
 def test_the_members_of_the_core_reach_all():
--- a/tests/gateway/membership/test_random_faults.py
+++ b/tests/gateway/membership/test_random_faults.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gateway.membership import messages as m
+from gateway.membership import events
 from tests.gateway.membership.membership_network import CONTROLLER_ADDRESSES, system
 
 HEARTBEAT_S = 1.3
@@ -45,7 +45,9 @@
             if b["out"] is None and now >= b["next"]:
                 b.update(seq=b["seq"] + 1, next=now + HEARTBEAT_S)
                 b["out"] = f"{id}/{b['seq']}", now + 1.0
-                beat = m.Heartbeat(b["out"][0], id, "s", b["at"], "z", "v1", 2, b["drain"], 0.0, b["seq"])
+                beat = events.Heartbeat(
+                    b["out"][0], id, "s", b["at"], "z", "v1", 2, b["drain"], 0.0, b["seq"]
+                )
                 self.net.give(b["to"], beat)
                 if self.rng.random() < 0.05:
                     self.late.append((now + 2 * self.rng.random(), beat._replace(token="late")))
@@ -92,7 +94,7 @@
             net.controller(controller)
         for controller in [p for p in CONTROLLER_ADDRESSES if p in net.nodes]:
             met = sum(o in net.nodes and not net.cut(controller, o) for o in CONTROLLER_ADDRESSES)
-            net.give(controller, m.SetQuorate(inf if met >= 2 else net.now))
+            net.give(controller, events.SetQuorumContact(inf if met >= 2 else net.now))
         fleet.step()
         if n < 700 and rng.random() < 0.03:
             trouble(net, fleet, rng, proxies, dead)
--- a/tests/gateway/programs/test_control_api.py
+++ b/tests/gateway/programs/test_control_api.py
@@ -12,7 +12,7 @@
 from syrupy.assertion import SnapshotAssertion
 
 from gateway.config.orders import ConfigState
-from gateway.membership.messages import Deregistration, Heartbeat
+from gateway.membership.events import Deregistration, Heartbeat
 from gateway.programs.control_api import MAX_PENDING_ORDERS, ORDER_PATIENCE_S, Control
 from gateway.runtime import http_listener as http_listener_module
 from gateway.runtime.http_listener import EMPTY_REQUEST, HttpCall, HttpCallHandler, HttpListener
--- a/tests/gateway/programs/test_first_start.py
+++ b/tests/gateway/programs/test_first_start.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from gateway.membership import messages as m
-from gateway.membership import wire
+from gateway.membership import codec, events
+from gateway.membership.types import ValueKind
 from tests.gateway.consensus.consensus_cluster import ConsensusCluster, Node, finish
 from tests.gateway.drift.drift_network import (
     CONTROLLER_ADDRESSES,
@@ -57,13 +57,15 @@
         net.nodes[address] = (SimulatedController if address in CONTROLLER_ADDRESSES else SimulatedProxy)(
             net, address
         )
-        net.later(0.01, address, m.Tick())
+        net.later(0.01, address, events.Tick())
         if address in CONTROLLER_ADDRESSES:
-            net.give(address, m.SetCore(tuple(CONTROLLER_ADDRESSES)))
+            net.give(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
     net.run(0.5)
     net.give(
         CONTROLLER_ADDRESSES[0],
-        m.Publish(m.CORE, (1, 1), wire.encode_members(CONTROLLER_ADDRESSES, CONTROLLER_ADDRESSES[0])),
+        events.Publish(
+            ValueKind.CORE, (1, 1), codec.encode_members(CONTROLLER_ADDRESSES, CONTROLLER_ADDRESSES[0])
+        ),
     )
     net.put(1, FIRST)
     net.run(0.6)
--- a/tests/gateway/programs/test_partition.py
+++ b/tests/gateway/programs/test_partition.py
@@ -1,7 +1,8 @@
 """Cut off for twenty seconds: what a proxy does that begins anew in the cut half, and hears only that."""
 
-from gateway.membership import messages as m
-from gateway.membership import wire
+from gateway.membership import codec, events
+from gateway.membership.types import ValueKind
+from gateway.state_machine import FencingToken
 from tests.gateway.drift.drift_network import (
     CONTROLLER_ADDRESSES,
     FleetNetwork,
@@ -19,7 +20,7 @@
 def begins(net, address="10.1.9.1:7660"):
     """Starts a proxy."""
     proxy = net.nodes[address] = SimulatedProxy(net, address)
-    net.later(0.01, address, m.Tick())
+    net.later(0.01, address, events.Tick())
     return proxy
 
 
@@ -29,7 +30,7 @@
     net.put(1, FIRST)
     net.run(2)
     net.cut = lambda a, b, kind: CUT in (a, b) and (a in MAJORITY or b in MAJORITY)
-    net.give(CUT, m.SetQuorate(net.now))
+    net.give(CUT, events.SetQuorumContact(net.now))
     net.put(2, SECOND, MAJORITY)
     return net
 
@@ -72,9 +73,12 @@
         net.kill(address)
     for address in later:
         net.nodes[address] = SimulatedController(net, address)
-        net.later(0.02, address, m.Tick())
-        net.give(address, m.SetCore((CUT, *later)))
-        net.give(address, m.Publish(m.CORE, (2, 9), wire.encode_members([CUT, *later], later[0])))
+        net.later(0.02, address, events.Tick())
+        net.give(address, events.SetCore((CUT, *later)))
+        net.give(
+            address,
+            events.Publish(ValueKind.CORE, FencingToken(2, 9), codec.encode_members([CUT, *later], later[0])),
+        )
     net.put(2, SECOND, later)
     net.cut = (
         lambda a, b, kind: kind in ("shuffle_request", "shuffle_reply")
@@ -83,6 +87,6 @@
     )
     proxy = begins(net)
     net.run(1)
-    net.give(proxy.proxy_node.me, m.SetSeeds((CUT, *later)))
+    net.give(proxy.proxy_node.me, events.SetSeeds((CUT, *later)))
     net.run(5)
     assert proxy.proxy_node.version == 2 and proxy.ask("/r3/x") == 200 and proxy.drift_monitor.ready
--- a/tests/gateway/programs/test_proxy_readiness.py
+++ b/tests/gateway/programs/test_proxy_readiness.py
@@ -4,7 +4,7 @@
 
 from types import SimpleNamespace
 
-from gateway.membership import messages as m
+from gateway.membership import events
 from gateway.programs.proxy import ProxyServer as Program
 from ingress.net.connection_interfaces import ImmediateResponse
 from tests.gateway.drift.drift_network import (
@@ -32,7 +32,7 @@
 
 def begins(net: FleetNetwork, address: str) -> SimulatedProxy:
     proxy = net.nodes[address] = SimulatedProxy(net, address)
-    net.later(0.01, address, m.Tick())
+    net.later(0.01, address, events.Tick())
     return proxy
 
 
--- a/tests/gateway/programs/test_reload.py
+++ b/tests/gateway/programs/test_reload.py
@@ -11,13 +11,14 @@
 
 import pytest
 
-from gateway.membership import messages as m
+from gateway.membership import events
 from gateway.membership.proxy import ProxyMembership
+from gateway.membership.types import ValueKind
 from gateway.programs.controller_node import ControllerNode
 from gateway.programs.settings_reload import Reload, differences
 from gateway.runtime import settings as files
 from gateway.runtime.settings import SettingsFile
-from gateway.state_machine import Send
+from gateway.state_machine import FencingToken, Send
 
 OLD, NEW = ("10.1.0.1:7661",), ("10.2.0.2:7661", "10.3.0.3:7661")
 
@@ -79,18 +80,18 @@
 
 def test_a_proxy_that_knows_no_core_follows_the_new_seeds() -> None:
     proxy = ProxyMembership("10.1.0.5:7660", 0, OLD, random.Random(1))
-    assert sent_to(proxy.handle(100.0, m.Tick())) == set(OLD)
-    assert sent_to(proxy.handle(100.1, m.SetSeeds(NEW))) == set(NEW)
-    assert sent_to(proxy.handle(102.0, m.Tick())) <= set(NEW)
+    assert sent_to(proxy.handle(100.0, events.Tick())) == set(OLD)
+    assert sent_to(proxy.handle(100.1, events.SetSeeds(NEW))) == set(NEW)
+    assert sent_to(proxy.handle(102.0, events.Tick())) <= set(NEW)
 
 
 def test_one_that_knows_the_core_asks_them_only_when_that_is_out_of_reach() -> None:
     proxy = ProxyMembership("10.1.0.5:7660", 0, OLD, random.Random(1))
-    proxy.handle(100.0, m.SetCore(OLD))
-    assert sent_to(proxy.handle(100.1, m.SetSeeds(NEW))) <= set(OLD)
+    proxy.handle(100.0, events.SetCore(OLD))
+    assert sent_to(proxy.handle(100.1, events.SetSeeds(NEW))) <= set(OLD)
     followed = set()
     for i in range(80):
-        followed |= sent_to(proxy.handle(100.2 + i * 0.05, m.Tick()))
+        followed |= sent_to(proxy.handle(100.2 + i * 0.05, events.Tick()))
     assert set(NEW) <= followed
 
 
@@ -130,17 +131,19 @@
     controller_node.membership.log.ingresses = lambda now: known  # type: ignore[method-assign]
 
     def held() -> Any:
-        return controller_node.membership.value_store.newest_by_kind[m.INGRESSES]
+        return controller_node.membership.value_store.newest_by_kind[ValueKind.INGRESSES]
 
     controller_node.raft.replica.enter_term(3)
     controller_node.publish_ingresses(99.0)
     assert (
-        m.INGRESSES not in controller_node.membership.value_store.newest_by_kind
+        ValueKind.INGRESSES not in controller_node.membership.value_store.newest_by_kind
     )  # one that has just begun knows of none yet
     known += [(0, "10.1.0.5:7660"), (1, "10.2.0.5:7660")]
     controller_node.publish_ingresses(100.0)
     own = held()
-    controller_node.handle_membership(controller_node.membership, m.Publish(m.INGRESSES, (4, 1), b""))
+    controller_node.handle_membership(
+        controller_node.membership, events.Publish(ValueKind.INGRESSES, FencingToken(4, 1), b"")
+    )
     controller_node.publish_ingresses(101.0)
     assert held().fencing_token == (4, 1)  # it isn't the leader of a later term
     controller_node.raft.replica.enter_term(5)
--- a/tests/simulation/test_partitioned_core.py
+++ b/tests/simulation/test_partitioned_core.py
@@ -219,7 +219,7 @@
 def alone(process):
     """Planted fault: it takes its own log for a majority's."""
     if process.kind == "controller":
-        process.controller_node.membership.log.confirmed = lambda number, members: len(members)
+        process.controller_node.membership.log.confirmations = lambda number, members: len(members)
 
 
 def flagged(process):
