--- a/gateway/config/digest.py
+++ b/gateway/config/digest.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Iterator
 from hashlib import blake2b
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
-from gateway.config.document import Document, RouteEntry
-from gateway.config.routing import CompiledConfig, Node, Route, Tenant, cumulative_shares
+from gateway.config.document import Document, Limits, RouteEntry
+from gateway.config.routing import CompiledConfig, Node, Route, Service, Tenant, cumulative_shares
 from gateway.config.schema import Difference
 
 MASK = 2**64 - 1
@@ -34,8 +34,14 @@
 FIELDS = {"route": ROUTE, "key": TENANT, "service": SERVICE, "limits": LIMITS, "keys": ("asked",)}
 
 ItemKey = tuple[str, bytes, bytes]
-"""Identifies an item: its kind, then host and prefix of a route, the key of a tenant, or a label."""
-ItemValues = tuple[Any, ...]
+"""Identifies an item: its kind, then host and prefix of a route, the key of a tenant, or a label. A plain
+tuple, as its `repr` is part of the digest that nodes compare."""
+
+ItemValues = tuple[object, ...]
+"""The values of an item that requests use, in the order of `FIELDS`; plain for the same reason."""
+
+Item = Route | Tenant | Service | Limits | tuple[bool]
+"""What requests use: besides the compiled types, whether a key is required."""
 
 
 class ExpectedItem(NamedTuple):
@@ -74,10 +80,10 @@
 
 def digest(compiled_config: CompiledConfig) -> int:
     """The 64 bit digest of a whole compiled configuration: the sum over its items."""
-    return sum(item_digest(name, values_of(thing)) for name, thing in iterate_items(compiled_config)) & MASK
+    return sum(item_digest(key, values_of(item)) for key, item in iterate_items(compiled_config)) & MASK
 
 
-def iterate_items(compiled_config: CompiledConfig) -> Iterator[tuple[ItemKey, Any]]:
+def iterate_items(compiled_config: CompiledConfig) -> Iterator[tuple[ItemKey, Item]]:
     """All items that requests use, found by walking the routing tree itself."""
     for host, root in compiled_config.hosts.items():
         level: list[tuple[bytes, Node]] = [(b"/", root)]
@@ -101,7 +107,7 @@
         self.compiled_config = compiled_config
         self.expected = expected
         self.completed_passes = 0  # full scans so far
-        self._pending_items: list[tuple[ItemKey, Any]] = []
+        self._pending_items: list[tuple[ItemKey, Item]] = []
 
     def step(self, n: int) -> list[Difference]:
         """Check the next `n` items; at the start of each scan, also which expected items are missing."""
@@ -115,13 +121,13 @@
         self.completed_passes += not self._pending_items
         return found
 
-    def check_item(self, name: ItemKey, thing: Any) -> list[Difference]:
+    def check_item(self, key: ItemKey, item: Item) -> list[Difference]:
         """Check one item that requests use; the fields that differ from the document."""
-        running = values_of(thing)
-        item = self.expected.items.get(name)
-        if item is None:
-            return [Difference(f"{name[0]} {_label(name, running)}".rstrip(), "present", "absent")]
-        return self._fields(name, running, item) if item_digest(name, running) != item.digest else []
+        running = values_of(item)
+        expected = self.expected.items.get(key)
+        if expected is None:
+            return [Difference(f"{key[0]} {_label(key, running)}".rstrip(), "present", "absent")]
+        return self._fields(key, running, expected) if item_digest(key, running) != expected.digest else []
 
     def _place(self, name: ItemKey) -> str:
         return f"{name[0]} {self.expected.items[name].label}".rstrip()
@@ -140,26 +146,11 @@
     return str(running[0]) if name[0] in ("route", "key") else name[1].decode()
 
 
-def values_of(thing: Any) -> ItemValues:
+def values_of(item: Item) -> ItemValues:
     """The values of an item that requests use, in the order of `FIELDS`."""
-    if isinstance(thing, Route):
-        r = thing
-        return (
-            r.label,
-            r.host,
-            r.prefix,
-            r.safe,
-            r.deadline,
-            r.target_latency,
-            r.precedence,
-            r.tries,
-            r.public,
-            r.targets,
-            r.cumulative_shares,
-        )
-    if isinstance(thing, Tenant):
-        return thing.label, thing.precedence, thing.rate, thing.burst
-    return tuple(thing)
+    if isinstance(item, Route | Tenant):
+        return item.values()
+    return tuple(item)
 
 
 def _expected_items(document: Document) -> Iterator[tuple[ItemKey, str, ItemValues]]:
--- a/gateway/config/document.py
+++ b/gateway/config/document.py
@@ -1,38 +1,53 @@
-"""A whole configuration as the operator sent it, with a typed view. Unknown fields are ignored but kept."""
+"""A full configuration as the operator sent it, with a typed view. Unknown fields are ignored but kept."""
 
 from __future__ import annotations
 
 import json
 import operator
 from collections.abc import Callable
-from typing import Any, Final, NamedTuple
+from typing import Any, Final, NamedTuple, NoReturn
 
 from result import Err, Ok, Result
 
 from gateway.config import schema
 from gateway.config.schema import ConfigError
 
-DEPTH_MAX = 32  # nesting of lists and objects, at most
-MAX_TARGET_LATENCY_EXCESS_S = 60.0  # seconds; a target latency may exceed its deadline by less
+MAX_DEPTH = 32  # nesting of lists and objects
+MAX_TARGET_LATENCY_EXCESS_S = 60.0  # a target latency may exceed its deadline by less
+MAX_JSON_ERROR_LENGTH = 200  # characters of the parser's message that are shown
 
 Raw = dict[str, Any]
-Key = tuple[str, str]  # entry-kind and label
+"""A JSON object, as the json module gives it; only what is checked by `schema` is relied on."""
+
+
+class EntryKey(NamedTuple):
+    """Identifies an entry: its kind and label. There is only one entry of limits, whatever its label."""
+
+    kind: str
+    label: str
+
+    def __str__(self) -> str:
+        return f"{self.kind} {self.label}".strip()
 
 
 class RouteEntry(NamedTuple):
-    """A route as configured. Lower-case host, times in seconds, `targets` are services with shares."""
+    """A route as configured. The host is in lower case.
+
+    `unused_target` is a `target` beside `weighted`, which gets no requests.
+    """
 
     label: str
     host: str
     prefix: str
     safe: bool
-    deadline: float
-    target_latency: float
-    precedence: int
-    tries: int
-    public: bool
+    deadline: float  # seconds
+    target_latency: float  # seconds
+    precedence: int  # 0 is the highest
+    tries: int  # attempts at most
+    public: bool  # no key is required
+    # Services with their shares. Plain pairs, as their `repr` is part of the digest that nodes compare.
     targets: tuple[tuple[str, float], ...]
-    unused_target: str | None  # a `target` beside `weighted`, which gets no requests
+    unused_target: str | None
 
 
 class ServiceEntry(NamedTuple):
@@ -54,19 +69,19 @@
 
 
 class Limits(NamedTuple):
-    """Limits on clients: sizes in bytes, timeouts in seconds."""
+    """Limits on clients."""
 
-    max_header_bytes: int = 16_384
-    max_body_bytes: int = 64 * 1024 * 1024
-    header_timeout: float = 3.0
-    idle_timeout: float = 15.0
+    max_header_bytes: int = schema.DEFAULT_MAX_HEADER_BYTES
+    max_body_bytes: int = schema.DEFAULT_MAX_BODY_BYTES
+    header_timeout: float = schema.DEFAULT_HEADER_TIMEOUT_S  # seconds
+    idle_timeout: float = schema.DEFAULT_IDLE_TIMEOUT_S  # seconds
 
 
 Entry = RouteEntry | ServiceEntry | TenantEntry | Limits
 
 
 class Document:
-    """One configuration, immutable once it is built by `parse`, `whole` or `patch`."""
+    """One configuration, immutable once it is built by `parse`, `from_raw` or `apply_patch`."""
 
     __slots__ = (
         "raw",
@@ -77,7 +92,7 @@
         "services",
         "tenants",
         "limits",
-        "seen",
+        "entries_by_key",
     )
 
     def __init__(self, raw: Raw, generation: int, base_version: int) -> None:
@@ -89,40 +104,46 @@
         self.services: dict[str, ServiceEntry] = {}
         self.tenants: dict[str, TenantEntry] = {}
         self.limits = Limits()
-        self.seen: dict[Key, tuple[Raw, Entry]] = {}  # by kind and label: raw and typed form
+        self.entries_by_key: dict[EntryKey, tuple[Raw, Entry]] = {}  # raw and typed form
 
     def encode(self) -> bytes:
         """The configuration as JSON, structured as in the PUT."""
         return json.dumps(self.raw, separators=(",", ":")).encode()
 
-    def add(self, key: Key, raw: Raw, entry: Entry) -> None:
+    def add(self, key: EntryKey, raw: Raw, entry: Entry) -> None:
         """Add an entry to the typed view."""
-        self.seen[key] = raw, entry
-        if isinstance(entry, RouteEntry):
-            self.routes[entry.label] = entry
-        elif isinstance(entry, ServiceEntry):
-            self.services[entry.label] = entry
-        elif isinstance(entry, TenantEntry):
-            self.tenants[entry.label] = entry
-        else:
-            self.limits = entry
+        self.entries_by_key[key] = (raw, entry)
+        match entry:
+            case RouteEntry():
+                self.routes[entry.label] = entry
+            case ServiceEntry():
+                self.services[entry.label] = entry
+            case TenantEntry():
+                self.tenants[entry.label] = entry
+            case Limits():
+                self.limits = entry
 
 
 def load(body: bytes, checked: bool = False) -> Result[Raw, list[ConfigError]]:
-    """Parse a body as a JSON object. Errors: invalid JSON, not an object, or nested too deeply.
+    """Parse a body as a JSON object.
+
+    Args:
+        body: The JSON text.
+        checked: Its nesting was checked before.
 
-    The nesting isn't checked again if `checked`.
+    Returns:
+        The object, or an error: invalid JSON, not an object, or nested too deeply.
     """
     try:
         raw = json.loads(body, parse_constant=_no_number)
-    except (ValueError, RecursionError) as e:
-        return Err([ConfigError("", f"expected JSON: {e}"[:200])])
+    except (ValueError, RecursionError) as error:
+        return Err([ConfigError("", f"expected JSON: {error}"[:MAX_JSON_ERROR_LENGTH])])
     if not isinstance(raw, dict):
         return Err([ConfigError("", f"expected an object, got {schema.format_value(raw)}")])
     if checked:
         return Ok(raw)
     level: list[Any] = [raw]
-    for _ in range(DEPTH_MAX):
+    for _ in range(MAX_DEPTH):
         level = [
             child
             for x in level
@@ -131,25 +152,25 @@
         ]
         if not level:
             return Ok(raw)
-    return Err([ConfigError("", f"expected at most {DEPTH_MAX} levels of lists and objects")])
+    return Err([ConfigError("", f"expected at most {MAX_DEPTH} levels of lists and objects")])
 
 
 def parse(body: bytes, previous: Document | None = None) -> Result[Document, list[ConfigError]]:
-    """Parse and check a whole configuration.
+    """Parse and check a full configuration.
 
     Entries equal to those of `previous` are reused, which saves time. Pass it only for a configuration that
     was checked before: to Python, 1 and true are equal.
     """
     raw = load(body, previous is not None)
-    return whole(raw.ok_value, previous) if isinstance(raw, Ok) else raw
+    return from_raw(raw.ok_value, previous) if isinstance(raw, Ok) else raw
 
 
-def whole(raw: Raw, previous: Document | None = None) -> Result[Document, list[ConfigError]]:
-    """Check a whole configuration and build its typed view (see `parse`). `raw` must not be changed later."""
+def from_raw(raw: Raw, previous: Document | None = None) -> Result[Document, list[ConfigError]]:
+    """Check a full configuration and build its typed view (see `parse`). `raw` must not be changed later."""
     return _build(raw, previous, operator.eq)
 
 
-def patch(previous: Document | None, raw: Raw) -> Result[Document, list[ConfigError]]:
+def apply_patch(previous: Document | None, raw: Raw) -> Result[Document, list[ConfigError]]:
     """The configuration that results from a PATCH of `previous`: first its `remove`, then its `upsert`.
 
     Replaced entries keep their position, new ones come last; removing an unknown name is no error.
@@ -157,27 +178,28 @@
     errors: list[ConfigError] = []
     upsert = _upserted(raw, errors)
     remove = _removed(raw, errors)
-    places: dict[Key, str] = {}
+    places: dict[EntryKey, str] = {}
     if not errors:
         _check_labels(upsert, "upsert.resource-list", places, errors)
     if errors:
         return Err(errors[: schema.MAX_REPORTED_ERRORS])
     new = {key_of(e): e for e in upsert}
-    kept = [e for e in (previous.entries if previous else []) if key_of(e) in new or key_of(e) not in remove]
-    entries = [new.pop(key_of(e), e) for e in kept] + list(new.values())
+    former = previous.entries if previous else []
+    staying = [e for e in former if key_of(e) in new or key_of(e) not in remove]
+    entries = [new.pop(key_of(e), e) for e in staying] + list(new.values())
     head = {"generation": raw.get("generation"), "base-version": raw.get("base-version", 0)}
     result = {**(previous.raw if previous else {}), **head, "resource-list": entries}
     return _build(result, previous, operator.is_, places)
 
 
-def key_of(entry: Raw) -> Key:
-    """Kind and label of a checked entry. There is only one entry of limits, whatever its label."""
+def key_of(entry: Raw) -> EntryKey:
+    """The key of a checked entry."""
     kind: str = entry["entry-kind"]
-    label = "" if kind == "limits" else (entry.get("metadata") or {}).get("label") or ""
-    return kind, label
+    label = "" if kind == LIMITS_KIND else (entry.get("metadata") or {}).get("label") or ""
+    return EntryKey(kind, label)
 
 
-def _no_number(constant: str) -> Any:
+def _no_number(constant: str) -> NoReturn:
     raise ValueError(f"{constant} is no number")
 
 
@@ -196,14 +218,14 @@
     return entries
 
 
-def _removed(raw: Raw, errors: list[ConfigError]) -> set[Key]:
+def _removed(raw: Raw, errors: list[ConfigError]) -> set[EntryKey]:
     remove = raw.get("remove")
     if remove is None:
         return set()
     if not isinstance(remove, dict):
         errors.append(ConfigError("remove", f"expected an object, got {schema.format_value(remove)}"))
         return set()
-    gone: set[Key] = set()
+    removed: set[EntryKey] = set()
     for kind, names in remove.items():
         if names is None:
             continue
@@ -211,14 +233,16 @@
             errors.append(
                 ConfigError(f"remove.{kind}", f"expected a list of names, got {schema.format_value(names)}")
             )
-        elif kind == "limits":
-            gone |= {(kind, "")} if names else set()
+        elif kind == LIMITS_KIND:
+            removed |= {EntryKey(kind, "")} if names else set()
         else:
-            gone |= {(kind, n) for n in names}
-    return gone
+            removed |= {EntryKey(kind, name) for name in names}
+    return removed
 
 
-def _check_labels(entries: list[Any], where: str, places: dict[Key, str], errors: list[ConfigError]) -> None:
+def _check_labels(
+    entries: list[Any], where: str, places: dict[EntryKey, str], errors: list[ConfigError]
+) -> None:
     """Check kinds and labels, which all entries have, and record the place of each entry."""
     for i, entry in enumerate(entries):
         place = f"{where}[{i}]"
@@ -243,18 +267,21 @@
             )
             continue
         key = key_of(entry)
-        if key in places and key[0] in KINDS:
-            errors.append(ConfigError(place, f"expected one entry of {' '.join(key).strip()}, got two"))
+        if key in places and key.kind in KINDS:
+            errors.append(ConfigError(place, f"expected one entry of {key}, got two"))
         places.setdefault(key, place)
 
 
 def _build(
-    raw: Raw, previous: Document | None, same: Callable[[Raw, Raw], bool], order: dict[Key, str] | None = None
+    raw: Raw,
+    previous: Document | None,
+    same: Callable[[Raw, Raw], bool],
+    order: dict[EntryKey, str] | None = None,
 ) -> Result[Document, list[ConfigError]]:
     errors: list[ConfigError] = []
     generation, base_version = schema.read(schema.HEAD, raw, "", errors)
     entries = raw.get("resource-list")
-    found: dict[Key, str] = {}
+    found: dict[EntryKey, str] = {}
     if not isinstance(entries, list):
         errors.append(ConfigError("resource-list", f"expected a list, got {schema.format_value(entries)}"))
     else:
@@ -263,11 +290,11 @@
         return Err(errors[: schema.MAX_REPORTED_ERRORS])
     document = Document(raw, generation, base_version)
     if order is not None:  # of a PATCH: only its own entries have a place
-        found = {key: order.get(key) or " ".join(key) for key in found}
+        found = {key: order.get(key) or f"{key.kind} {key.label}" for key in found}
     for entry in document.entries:
         key = key_of(entry)
-        if key[0] in KINDS:
-            old = previous.seen.get(key) if previous else None
+        if key.kind in KINDS:
+            old = previous.entries_by_key.get(key) if previous else None
             if old is not None and same(old[0], entry):
                 document.add(key, entry, old[1])
             else:
@@ -277,21 +304,22 @@
     return Err(errors[: schema.MAX_REPORTED_ERRORS]) if errors else Ok(document)
 
 
-def _read(document: Document, key: Key, raw: Raw, place: str, errors: list[ConfigError]) -> None:
-    before = len(errors)
-    kind, label = key
+def _read(document: Document, key: EntryKey, raw: Raw, place: str, errors: list[ConfigError]) -> None:
+    errors_before = len(errors)
     spec = raw.get("spec")
-    values = schema.read(KINDS[kind], {} if spec is None else spec, f"{place}.spec", errors)
-    if len(errors) > before:
+    values = schema.read(KINDS[key.kind], {} if spec is None else spec, f"{place}.spec", errors)
+    if len(errors) > errors_before:
         return
-    if kind == "route-table":
-        entry: Entry | None = _route(label, values, place, errors)
-    elif kind == "services":
-        entry = ServiceEntry(label, *values)
-    elif kind == "tenants":
-        entry = TenantEntry(label, *values)
-    else:
-        entry = Limits(*values)
+    entry: Entry | None
+    match key.kind:
+        case "route-table":
+            entry = _route(key.label, values, place, errors)
+        case "services":
+            entry = ServiceEntry(key.label, *values)
+        case "tenants":
+            entry = TenantEntry(key.label, *values)
+        case _:
+            entry = Limits(*values)
     if entry is not None:
         document.add(key, raw, entry)
 
@@ -321,11 +349,16 @@
     )
 
 
-def _check_references(document: Document, places: dict[Key, str], errors: list[ConfigError]) -> None:
+def _check_references(document: Document, places: dict[EntryKey, str], errors: list[ConfigError]) -> None:
     """Check references between entries, and that hosts with prefixes and keys are unique."""
-    places_taken: dict[tuple[str, str], str] = {}
+    _check_routes(document, places, errors)
+    _check_keys(document, places, errors)
+
+
+def _check_routes(document: Document, places: dict[EntryKey, str], errors: list[ConfigError]) -> None:
+    owners: dict[tuple[str, str], str] = {}  # by host and prefix, the route that has them
     for route in document.routes.values():
-        place = places["route-table", route.label]
+        place = places[EntryKey("route-table", route.label)]
         for service, _ in route.targets:
             if service not in document.services:
                 errors.append(ConfigError(f"{place}.spec", f"expected a known service, got {service}"))
@@ -333,23 +366,27 @@
             errors.append(
                 ConfigError(f"{place}.spec.target", f"expected a known service, got {route.unused_target}")
             )
-        holder = places_taken.setdefault((route.host, route.prefix), route.label)
-        if holder != route.label:
-            reason = f"expected one of its own on this host, got that of {holder}"
+        owner = owners.setdefault((route.host, route.prefix), route.label)
+        if owner != route.label:
+            reason = f"expected one of its own on this host, got that of {owner}"
             errors.append(ConfigError(f"{place}.spec.path-prefix", reason))
-    holders: dict[str, str] = {}
+
+
+def _check_keys(document: Document, places: dict[EntryKey, str], errors: list[ConfigError]) -> None:
+    owners: dict[str, str] = {}  # by API key, the tenant that has it
     for tenant in document.tenants.values():
         for key in tenant.keys:
-            holder = holders.setdefault(key, tenant.label)
-            if holder != tenant.label:
-                place = f"{places['tenants', tenant.label]}.spec.api-keys"
-                errors.append(ConfigError(place, f"expected keys of its own, got one of {holder}"))
+            owner = owners.setdefault(key, tenant.label)
+            if owner != tenant.label:
+                place = f"{places[EntryKey('tenants', tenant.label)]}.spec.api-keys"
+                errors.append(ConfigError(place, f"expected keys of its own, got one of {owner}"))
 
 
+LIMITS_KIND: Final = "limits"
 KINDS: Final = {
     "route-table": schema.ROUTE,
     "services": schema.SERVICE,
     "tenants": schema.TENANT,
-    "limits": schema.LIMITS,
+    LIMITS_KIND: schema.LIMITS,
 }
 LABELLED_KINDS: Final = ("route-table", "services", "tenants")
--- a/gateway/config/reference.py
+++ b/gateway/config/reference.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gateway.config.document import Document, Raw
 from gateway.config.routing import RouteDecision
@@ -53,13 +53,13 @@
         return ExpectedDecision(404)
     spec = entry["spec"]
     tenants = [e for e in document.entries if e["entry-kind"] == "tenants"]
-    holder = next((t for t in tenants if key in [k.encode() for k in _spec(t).get("api-keys") or ()]), None)
-    if tenants and holder is None and not spec.get("public"):
+    tenant = next((t for t in tenants if key in [k.encode() for k in _spec(t).get("api-keys") or ()]), None)
+    if tenants and tenant is None and not spec.get("public"):
         return ExpectedDecision(401, entry["metadata"]["label"])
-    limits = _spec(holder) if holder else {}
-    rank = limits.get("precedence")
-    if rank is None:
-        rank = 1 if spec.get("precedence") is None else spec["precedence"]
+    limits = _spec(tenant) if tenant else {}
+    precedence = limits.get("precedence")
+    if precedence is None:
+        precedence = 1 if spec.get("precedence") is None else spec["precedence"]
     deadline = float(spec["deadline-s"])
     tries = spec.get("max-tries")
     return ExpectedDecision(
@@ -70,8 +70,8 @@
         deadline,
         float(spec.get("target-latency-s") or deadline),
         _targets(spec),
-        int(rank),
-        holder["metadata"]["label"] if holder else "",
+        int(precedence),
+        tenant["metadata"]["label"] if tenant else "",
         float(limits.get("rate-per-s") or 0),
         float(limits.get("burst") or 0),
     )
@@ -100,15 +100,15 @@
     if ran == expected:
         return []
     place = f"route {expected.route or ran.route}"
-    told = 2 if ran[:2] != expected[:2] else len(FIELDS)
+    compared = 2 if ran[:2] != expected[:2] else len(FIELDS)
     return [
         Difference(f"{place}.{field}", str(was), str(to))
-        for field, was, to in list(zip(FIELDS, ran, expected, strict=True))[:told]
+        for field, was, to in list(zip(FIELDS, ran, expected, strict=True))[:compared]
         if was != to
     ]
 
 
-def _spec(entry: Raw) -> dict[str, Any]:
+def _spec(entry: Raw) -> Raw:
     return entry.get("spec") or {}
 
 
@@ -117,8 +117,8 @@
     closed = host.find(b"]") + 1 if host.startswith(b"[") else 0
     colon = host.find(b":", closed)
     port = host[colon + 1 :]
-    ends = colon >= 0 and (not port or port.isdigit()) and (not closed or colon == closed)
-    return host[:colon] if ends else host
+    has_port = colon >= 0 and (not port or port.isdigit()) and (not closed or colon == closed)
+    return host[:colon] if has_port else host
 
 
 def _route(entries: list[Raw], host: bytes, path: bytes) -> Raw | None:
@@ -135,7 +135,7 @@
     return best
 
 
-def _targets(spec: dict[str, Any]) -> tuple[tuple[str, float], ...]:
+def _targets(spec: Raw) -> tuple[tuple[str, float], ...]:
     weighted = spec.get("weighted")
     if weighted:
         return tuple([(w["target"], float(w["share"])) for w in weighted])
--- a/gateway/config/routing.py
+++ b/gateway/config/routing.py
@@ -11,7 +11,10 @@
 
 
 class Route:
-    """A compiled route. Times are seconds; `targets` are services with their shares."""
+    """A compiled route, with the values of its entry.
+
+    `cumulative_shares` has each service with the upper bound of its interval in [0, 1].
+    """
 
     __slots__ = (
         "label",
@@ -29,7 +32,22 @@
     )
 
     def __init__(self, entry: RouteEntry) -> None:
-        (
+        self.label = entry.label
+        self.host = entry.host
+        self.prefix = entry.prefix
+        self.safe = entry.safe
+        self.deadline = entry.deadline
+        self.target_latency = entry.target_latency
+        self.precedence = entry.precedence
+        self.tries = entry.tries
+        self.public = entry.public
+        self.targets = entry.targets
+        self.cumulative_shares = cumulative_shares(entry.targets)
+        self.entry = entry
+
+    def values(self) -> tuple[object, ...]:
+        """The values that requests use, in the order of `digest.ROUTE`."""
+        return (
             self.label,
             self.host,
             self.prefix,
@@ -40,11 +58,8 @@
             self.tries,
             self.public,
             self.targets,
-            _,
-        ) = entry
-        # with the upper bound of each service's interval in [0, 1]
-        self.cumulative_shares = cumulative_shares(self.targets)
-        self.entry = entry  # the entry it was built from
+            self.cumulative_shares,
+        )
 
     def pick_service(self, r: float) -> str:
         """Choose a service by the shares; `r` is uniform in [0, 1)."""
@@ -60,11 +75,18 @@
     __slots__ = ("label", "precedence", "rate", "burst")
 
     def __init__(self, entry: TenantEntry) -> None:
-        self.label, _, self.precedence, self.rate, self.burst = entry
+        self.label = entry.label
+        self.precedence = entry.precedence
+        self.rate = entry.rate
+        self.burst = entry.burst
+
+    def values(self) -> tuple[object, ...]:
+        """The values that requests use, in the order of `digest.TENANT`."""
+        return self.label, self.precedence, self.rate, self.burst
 
     def same(self, entry: TenantEntry) -> bool:
         """Whether an entry has the same values, apart from its keys."""
-        return (self.label, self.precedence, self.rate, self.burst) == (entry.label, *entry[2:])
+        return self.values() == (entry.label, entry.precedence, entry.rate, entry.burst)
 
 
 class Service(NamedTuple):
@@ -122,11 +144,12 @@
         self.tenants: dict[str, Tenant] = {}
         self.keys: dict[bytes, Tenant] = {}
         old_tenants = previous.tenants if previous else {}
-        for held in document.tenants.values():
-            known = old_tenants.get(held.label)
-            tenant = known if known is not None and known.same(held) else Tenant(held)
-            self.tenants[held.label] = tenant
-            for key in held.keys:
+        for tenant_entry in document.tenants.values():
+            known = old_tenants.get(tenant_entry.label)
+            is_same = known is not None and known.same(tenant_entry)
+            tenant = known if known is not None and is_same else Tenant(tenant_entry)
+            self.tenants[tenant_entry.label] = tenant
+            for key in tenant_entry.keys:
                 self.keys[key.encode()] = tenant
         self.requires_key = bool(self.tenants)
 
@@ -187,10 +210,10 @@
 def cumulative_shares(targets: Targets) -> Targets:
     """Services with a positive share, each with the upper bound of its interval in [0, 1]."""
     total = sum(share for _, share in targets)
-    run = 0.0
-    added = []
+    upper_bound = 0.0
+    cumulative = []
     for service, share in targets:
         if share > 0:
-            run += share / total
-            added.append((service, run))
-    return tuple(added)
+            upper_bound += share / total
+            cumulative.append((service, upper_bound))
+    return tuple(cumulative)
--- a/gateway/config/schema.py
+++ b/gateway/config/schema.py
@@ -7,7 +7,13 @@
 from typing import Any, Final, NamedTuple
 
 MAX_REPORTED_ERRORS = 20  # errors reported for one configuration
-WHOLE_MAX = 2**63 - 1  # generations and sizes fit a signed 64 bit integer
+MAX_INTEGER = 2**63 - 1  # generations and sizes fit a signed 64 bit integer
+MAX_SHOWN_LENGTH = 60  # characters of a value in an error
+
+DEFAULT_MAX_HEADER_BYTES = 16_384
+DEFAULT_MAX_BODY_BYTES = 64 * 1024 * 1024
+DEFAULT_HEADER_TIMEOUT_S = 3.0
+DEFAULT_IDLE_TIMEOUT_S = 15.0
 
 
 class ConfigError(NamedTuple):
@@ -26,7 +32,10 @@
 
 
 class Constraint(NamedTuple):
-    """A check of a value of the right kind, and how it is described to the operator."""
+    """A check of a value of the right kind, and how it is described to the operator.
+
+    What `accepts` takes depends on the kind of the field, hence `Any`.
+    """
 
     expected: str
     accepts: Callable[[Any], bool]
@@ -57,7 +66,7 @@
     lambda v: not v or (all(share >= 0 for _, share in v) and any(share > 0 for _, share in v)),
 )
 
-HEAD = (  # of a whole configuration and of a PATCH
+HEAD = (  # of a full configuration and of a PATCH
     FieldSpec("generation", "whole number", REQUIRED, AT_LEAST_ONE),
     FieldSpec("base-version", "whole number", 0, NOT_NEGATIVE),
 )
@@ -84,10 +93,14 @@
     FieldSpec("burst", "number", 0.0, NOT_NEGATIVE),
 )
 LIMITS = (
-    FieldSpec("max-header-bytes", "whole number", 16_384, NOT_NEGATIVE, zero_means_default=True),
-    FieldSpec("max-body-bytes", "whole number", 64 * 1024 * 1024, NOT_NEGATIVE, zero_means_default=True),
-    FieldSpec("header-timeout-s", "number", 3.0, NOT_NEGATIVE, zero_means_default=True),
-    FieldSpec("idle-timeout-s", "number", 15.0, NOT_NEGATIVE, zero_means_default=True),
+    FieldSpec(
+        "max-header-bytes", "whole number", DEFAULT_MAX_HEADER_BYTES, NOT_NEGATIVE, zero_means_default=True
+    ),
+    FieldSpec(
+        "max-body-bytes", "whole number", DEFAULT_MAX_BODY_BYTES, NOT_NEGATIVE, zero_means_default=True
+    ),
+    FieldSpec("header-timeout-s", "number", DEFAULT_HEADER_TIMEOUT_S, NOT_NEGATIVE, zero_means_default=True),
+    FieldSpec("idle-timeout-s", "number", DEFAULT_IDLE_TIMEOUT_S, NOT_NEGATIVE, zero_means_default=True),
 )
 
 
@@ -95,12 +108,12 @@
     """A host in the form that is compared: in lower case and without its port."""
     host = host.strip().lower()
     name, colon, port = host.rpartition(b":")
-    ends = bool(colon) and (port.isdigit() or not port)
-    # an IPv6 address without a port stays whole
-    return name if ends and (b":" not in name or name[-1:] == b"]") else host
+    has_port = bool(colon) and (port.isdigit() or not port)
+    # an IPv6 address without a port stays as it is
+    return name if has_port and (b":" not in name or name[-1:] == b"]") else host
 
 
-def text(value: Any) -> str | None:
+def text(value: object) -> str | None:
     """The value if it is a string that can be put into a header, else None."""
     if not isinstance(value, str):
         return None
@@ -110,38 +123,39 @@
     return value if clean else None
 
 
-def _host(value: Any) -> str | None:
+def _host(value: object) -> str | None:
     checked = text(value)
     return None if checked is None else host_of(checked.encode()).decode()
 
 
-def _whole(value: Any) -> int | None:
+def _integer(value: object) -> int | None:
     if isinstance(value, float) and value.is_integer():
         value = int(value)
-    fits = isinstance(value, int) and not isinstance(value, bool) and -WHOLE_MAX <= value <= WHOLE_MAX
-    return value if fits else None
+    if not isinstance(value, int) or isinstance(value, bool):
+        return None
+    return value if -MAX_INTEGER <= value <= MAX_INTEGER else None
 
 
-def _number(value: Any) -> float | None:
+def _number(value: object) -> float | None:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
-    if not -WHOLE_MAX <= value <= WHOLE_MAX:  # excludes infinity and NaN
+    if not -MAX_INTEGER <= value <= MAX_INTEGER:  # excludes infinity and NaN
         return None
     return float(value) + 0.0  # turns -0.0 into 0.0
 
 
-def _flag(value: Any) -> bool | None:
+def _flag(value: object) -> bool | None:
     return value if isinstance(value, bool) else None
 
 
-def _texts(value: Any) -> tuple[str, ...] | None:
+def _texts(value: object) -> tuple[str, ...] | None:
     if not isinstance(value, list):
         return None
-    read = tuple([t for t in map(text, value) if t is not None])
-    return read if len(read) == len(value) else None
+    texts = tuple([t for t in map(text, value) if t is not None])
+    return texts if len(texts) == len(value) else None
 
 
-def _shares(value: Any) -> tuple[tuple[str, float], ...] | None:
+def _shares(value: object) -> tuple[tuple[str, float], ...] | None:
     if not isinstance(value, list):
         return None
     read = []
@@ -154,10 +168,11 @@
     return tuple(read)
 
 
-KINDS: Final[dict[str, Callable[[Any], Any]]] = {
+# Readers by kind: each returns the typed value, or None if it isn't of the kind.
+KINDS: Final[dict[str, Callable[[object], Any]]] = {
     "text": text,
     "host": _host,
-    "whole number": _whole,
+    "whole number": _integer,
     "number": _number,
     "flag": _flag,
     "list of texts": _texts,
@@ -165,13 +180,13 @@
 }
 
 
-def format_value(value: Any) -> str:
+def format_value(value: object) -> str:
     """A value as it is shown in an error: JSON, truncated."""
-    told = "nothing" if value is None else json.dumps(value)
-    return told if len(told) <= 60 else told[:57] + "..."
+    shown = "nothing" if value is None else json.dumps(value)
+    return shown if len(shown) <= MAX_SHOWN_LENGTH else shown[: MAX_SHOWN_LENGTH - 3] + "..."
 
 
-def read(rows: tuple[FieldSpec, ...], fields: Any, place: str, errors: list[ConfigError]) -> list[Any]:
+def read(rows: tuple[FieldSpec, ...], fields: object, place: str, errors: list[ConfigError]) -> list[Any]:
     """The values of the rows in their order, with defaults. Errors are appended; a value with one is None."""
     if not isinstance(fields, dict):
         errors.append(ConfigError(place, f"expected an object, got {format_value(fields)}"))
--- a/gateway/drift/detector.py
+++ b/gateway/drift/detector.py
@@ -3,297 +3,331 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
-from typing import Any
+from typing import assert_never
 
 from gateway.config.schema import Difference
-from gateway.drift.messages import (
+from gateway.drift.events import (
+    Check,
+    DetectorEvent,
     DifferencesFound,
-    FetchVersion,
-    Finding,
     NewestConfirmed,
-    ReadinessChanged,
-    Rebuild,
-    RefusalChanged,
     Tick,
     VersionApplied,
     VersionSeen,
     VersionUnreadable,
 )
+from gateway.drift.outputs import (
+    DetectorOutput,
+    FetchVersion,
+    Finding,
+    ReadinessChanged,
+    Rebuild,
+    RefusalChanged,
+)
 from gateway.state_machine import Address
 
-# of `apply_s`: after knowing of a newer version for so long, not ready, then requests are rejected
+# Of `apply_s`: after a newer version is known for so long, the node isn't ready, then requests are rejected.
 UNREADY_RATIO = 0.4
 REFUSE_RATIO = 0.6
 FETCH_INTERVAL_S = 0.5  # between two fetches of a newer version
 UNREADABLE_FETCH_INTERVAL_S = 5.0  # likewise, for a version that can't be read
-MAX_UNATTRIBUTED_FETCHES = 20  # fetches of a version that no known holder has
+MAX_UNATTRIBUTED_FETCHES = 20  # fetches of a version that no known node has
 CLAIM_GRACE_S = 0.5  # this long after a version was advertised, the core's answer overrides it
-PAUSE_THRESHOLD_S = 1.0  # without an input for so long, this process was suspended
+SUSPEND_THRESHOLD_S = 1.0  # without an event for so long, this process was suspended
 RESUME_GRACE_S = 0.5  # after a suspension requests are rejected until the core confirms, so long at most
-SILENT_S = 10.0  # without contact with the core for so long there is a finding
+CORE_TIMEOUT_S = 10.0  # without contact with the core for so long there is a finding
 REBUILD_INTERVAL_S = 1.0  # between two rebuilds
-REBUILD_FORGET_S = 30.0  # a rebuild counts towards the limit for so long
+REBUILD_RETENTION_S = 30.0  # a rebuild counts towards the limit for so long
 SAMPLE_REBUILD_INTERVAL_S = 10.0  # between two rebuilds caused by samples
 MAX_REBUILDS = 3  # within that time; if they don't help, there are no more
-CORE_NOT_HEARD = "the core has yet to be heard"  # why requests are rejected right after a start
-# checks that found a difference: direct evaluation, and the digest when a version is applied
-SAMPLE = "sample"
-DIGEST = "digest"
-# findings kept, characters of a value in them
-MAX_FINDINGS = 32
-MAX_TEXT_LENGTH = 120
-# findings that aren't reported again, until they weren't found for so long
-MAX_KNOWN_FINDINGS = 256
-FORGET_S = 600.0
+MAX_FINDINGS = 32  # findings kept
+MAX_TEXT_LENGTH = 120  # characters of a value in them
+MAX_KNOWN_FINDINGS = 256  # findings that aren't reported again,
+FINDING_RETENTION_S = 600.0  # until they weren't found for so long
+LONG_AGO = -1e9  # before any time of a monotonic clock, in seconds
+
+# Why requests are rejected.
+CORE_NOT_HEARD = "the core has yet to be heard"  # right after a start
+NEWER_VERSION_KNOWN = "a newer version is known of"
+RESUMED = "resumed after a suspension"
+NO_CORE_CONTACT = "no contact with the core"
 
 
 class DriftDetector:
-    """State machine; inputs and outputs are those of `gateway.drift.messages`.
+    """State machine of one node.
+
+    `ReadinessChanged` and `RefusalChanged` come out only on a change. Requests are rejected until the core
+    has confirmed the version once: a restarted node may hear only a controller that is cut off.
 
-    `ReadinessChanged` and `RefusalChanged` come out only on a change. `apply_s` is the time in seconds in
-    which a version has to be in force. With `refuse_after_s`, requests are rejected once the last contact
-    with the core is that old; without it a node that is cut off serves on. Either way they are rejected until
-    the core has confirmed the version once: a restarted node may hear only a controller that is cut off.
+    Args:
+        apply_s: The time in seconds in which a version has to be in force.
+        refuse_after_s: Requests are rejected once the last contact with the core is that old. None: a node
+            that is cut off serves on.
     """
 
     def __init__(self, apply_s: float, refuse_after_s: float | None = None) -> None:
         self.apply_s = apply_s
         self.refuse_after_s = refuse_after_s
         self.version = 0
-        self.running = 0
-        self.acknowledged = 0
-        # a newer version, a node that has it, since when it is known
-        self.newest = 0
-        self.source = ""
-        self.since = 0.0
-        self.unattributed_version = 0
-        self.tries = 0
-        self.confirmed: float | None = None  # no request is served before that
-        self.began = 0.0  # when the first version was applied
-        self.last: float | None = None
-        self.offset = 0.0  # added to the clock, so that time never runs backwards here
+        self.running_digest = 0
+        self.acknowledged_digest = 0
+        self.newer_version = 0  # a newer version, if any,
+        self.newer_source = ""  # a node that has it,
+        self.newer_since = 0.0  # and since when it is known
+        self.unattributed_version = 0  # a newer version that no known node has
+        self.fetch_attempts = 0
+        self.confirmed_at: float | None = None  # no request is served before that
+        self.first_applied_at = 0.0
+        self.last_event_at: float | None = None
+        self.clock_offset = 0.0  # added to the clock, so that time never runs backwards here
         self.unreadable_version = 0  # a version that was received and can't be read
-        self.resumed_at = -1e9
-        self.fetched_at = -1e9
-        self.sample_rebuilt_at = -1e9  # last rebuild caused by a sample
-        self.rebuilt: deque[float] = deque(maxlen=MAX_REBUILDS)
+        self.resumed_at = LONG_AGO
+        self.fetched_at = LONG_AGO
+        self.sample_rebuilt_at = LONG_AGO  # last rebuild caused by a sample
+        self.rebuilt_at: deque[float] = deque(maxlen=MAX_REBUILDS)
         self.ready = True
-        self.refusing = False
-        self.why = ""
-        self.known_findings: dict[Difference, float] = {}  # reported findings, and when they were found last
+        self.refusal_reason = ""  # why requests are rejected; empty if they aren't
+        self.known_findings: dict[Difference, float] = {}  # reported ones, and when they were found last
         self.findings: deque[Finding] = deque(maxlen=MAX_FINDINGS)
-        self.found = 0
-        self.on: dict[type, Callable[[float, Any], list[Any]]] = {
-            VersionApplied: self._version_applied,
-            VersionUnreadable: self._unreadable,
-            VersionSeen: self._version_seen,
-            NewestConfirmed: self._confirmed,
-            DifferencesFound: self._differences_found,
-            Tick: self._tick,
-        }
-
-    def handle(self, now: float, event: Any) -> list[Any]:
-        """Handle an input; returns the outputs. A clock that steps back is treated as standing still."""
-        now += self.offset
-        if self.last is not None and now < self.last:
-            self.offset += self.last - now
-            now = self.last
-        elif self.last is not None and now - self.last > PAUSE_THRESHOLD_S:
-            self._paused(now, now - self.last)
-        self.last = now
-        return [*self.on[type(event)](now, event), *self._state(now)]
+        self.finding_count = 0
+
+    def handle(self, now: float, event: DetectorEvent) -> list[DetectorOutput]:
+        """Handle an event; returns the outputs. A clock that steps back is treated as standing still."""
+        now += self.clock_offset
+        if self.last_event_at is not None and now < self.last_event_at:
+            self.clock_offset += self.last_event_at - now
+            now = self.last_event_at
+        elif self.last_event_at is not None and now - self.last_event_at > SUSPEND_THRESHOLD_S:
+            self._on_resume(now, now - self.last_event_at)
+        self.last_event_at = now
+        return [*self._handle(now, event), *self._state_changes(now)]
+
+    def _handle(self, now: float, event: DetectorEvent) -> list[DetectorOutput]:
+        match event:
+            case VersionApplied():
+                return self._on_version_applied(now, event)
+            case VersionUnreadable():
+                return self._on_version_unreadable(now, event)
+            case VersionSeen():
+                return self._on_version_seen(now, event)
+            case NewestConfirmed():
+                return self._on_newest_confirmed(now, event)
+            case DifferencesFound():
+                return self._on_differences_found(now, event)
+            case Tick():
+                return self._tick(now)
+            case _:
+                assert_never(event)
 
     def lag(self) -> float:
         """Seconds since a newer version became known; 0 if there is none."""
-        return (self.last or 0.0) - self.since if self.newest > self.version else 0.0
+        return (self.last_event_at or 0.0) - self.newer_since if self.newer_version > self.version else 0.0
+
+    @property
+    def refusing(self) -> bool:
+        """Whether requests are rejected."""
+        return bool(self.refusal_reason)
 
     @property
     def core_not_heard(self) -> bool:
         """Whether there is a version, and the core hasn't confirmed any since the process started."""
-        return self.version > 0 and self.confirmed is None
+        return self.version > 0 and self.confirmed_at is None
 
     def confirmation_age(self) -> float | None:
         """Seconds since the core last confirmed the version as the newest; None before the first time."""
-        return None if self.confirmed is None else max(0.0, (self.last or 0.0) - self.confirmed)
+        if self.confirmed_at is None:
+            return None
+        return max(0.0, (self.last_event_at or 0.0) - self.confirmed_at)
 
     # Versions.
 
-    def _version_applied(self, now: float, e: VersionApplied) -> list[Any]:
-        self.began = self.began if self.version else now
-        self.version, self.running, self.acknowledged = e
-        if self.newest <= e.version:
-            self.newest = 0
-            self.source = ""
-        if self.unattributed_version <= e.version:
+    def _on_version_applied(self, now: float, event: VersionApplied) -> list[DetectorOutput]:
+        self.first_applied_at = self.first_applied_at if self.version else now
+        self.version = event.version
+        self.running_digest = event.running
+        self.acknowledged_digest = event.acknowledged
+        if self.newer_version <= event.version:
+            self.newer_version = 0
+            self.newer_source = ""
+        if self.unattributed_version <= event.version:
             self.unattributed_version = 0
-            self.tries = 0
-        if e.running == e.acknowledged:
+            self.fetch_attempts = 0
+        if event.running == event.acknowledged:
             return []
-        what = Difference(f"version {e.version}", f"digest {e.running:016x}", f"digest {e.acknowledged:016x}")
-        return self._differences_found(now, DifferencesFound(DIGEST, (what,)))
+        running = f"digest {event.running:016x}"
+        acknowledged = f"digest {event.acknowledged:016x}"
+        difference = Difference(f"version {event.version}", running, acknowledged)
+        return self._on_differences_found(now, DifferencesFound(Check.DIGEST, (difference,)))
 
-    def _unreadable(self, now: float, e: VersionUnreadable) -> list[Any]:
+    def _on_version_unreadable(self, now: float, event: VersionUnreadable) -> list[DetectorOutput]:
         """A version was received and can't be read: it counts as newer and is fetched again."""
-        self.unreadable_version = e.version
+        self.unreadable_version = event.version
         self.fetched_at = now
-        self._note_newer(now, e.version, self.source)
-        what = Difference(f"version {e.version}", f"version {self.version}", "unreadable: " + e.why)
-        return self._report(what, "taking it up")
-
-    def _version_seen(self, now: float, e: VersionSeen) -> list[Any]:
-        if e.version == self.version and e.source and e.digest not in (0, self.acknowledged):
-            what = Difference(
-                f"neighbour {e.source}", f"digest {e.digest:016x}", f"digest {self.acknowledged:016x}"
-            )
-            return self._report(what, "its word")
-        if e.version <= self.version:
+        self._on_newer_version(now, event.version, self.newer_source)
+        set_to = "unreadable: " + event.reason
+        difference = Difference(f"version {event.version}", f"version {self.version}", set_to)
+        return self._report(difference, "taking it up")
+
+    def _on_version_seen(self, now: float, event: VersionSeen) -> list[DetectorOutput]:
+        is_other_digest = event.digest not in (0, self.acknowledged_digest)
+        if event.version == self.version and event.source and is_other_digest:
+            advertised = f"digest {event.digest:016x}"
+            acknowledged = f"digest {self.acknowledged_digest:016x}"
+            difference = Difference(f"neighbour {event.source}", advertised, acknowledged)
+            return self._report(difference, "its word")
+        if event.version <= self.version:
             return []
-        if e.source:
-            self._note_newer(now, e.version, e.source)
-        elif e.version > max(self.unattributed_version, self.newest):
-            self.unattributed_version = e.version
-            self.tries = 0
+        if event.source:
+            self._on_newer_version(now, event.version, event.source)
+        elif event.version > max(self.unattributed_version, self.newer_version):
+            self.unattributed_version = event.version
+            self.fetch_attempts = 0
         return []
 
-    def _note_newer(self, now: float, version: int, source: Address) -> None:
+    def _on_newer_version(self, now: float, version: int, source: Address) -> None:
         """A node that has a newer version advertises it."""
-        if self.newest <= self.version:
-            self.since = now
-        if version > self.newest or (version == self.newest and source):
-            self.newest = version
-            self.source = source
-
-    def _confirmed(self, now: float, e: NewestConfirmed) -> list[Any]:
-        """The core confirmed its newest version. An advertised one that the core still doesn't know after
-        `CLAIM_GRACE_S` is dismissed."""
-        at = min(now, e.at + self.offset)
-        out = list[Any]()
-        if e.version == self.version:
-            self.confirmed = max(self.confirmed or at, at)
-        if e.version < max(self.newest, self.unattributed_version) and e.version >= self.version:
-            if self.newest > e.version and at >= self.since + CLAIM_GRACE_S:
-                what = f"version {self.newest}", f"claimed by {self.source}", f"version {e.version}"
-                out = self._report(Difference(*what), "the last contact with the core")
-                self.newest = 0
-            if self.tries > 1:
+        if self.newer_version <= self.version:
+            self.newer_since = now
+        if version > self.newer_version or (version == self.newer_version and source):
+            self.newer_version = version
+            self.newer_source = source
+
+    def _on_newest_confirmed(self, now: float, event: NewestConfirmed) -> list[DetectorOutput]:
+        """The core confirmed its newest version.
+
+        An advertised one that the core still doesn't know after `CLAIM_GRACE_S` is dismissed.
+        """
+        at = min(now, event.at + self.clock_offset)
+        outputs: list[DetectorOutput] = []
+        if event.version == self.version:
+            self.confirmed_at = max(self.confirmed_at or at, at)
+        advertised = max(self.newer_version, self.unattributed_version)
+        if self.version <= event.version < advertised:
+            if self.newer_version > event.version and at >= self.newer_since + CLAIM_GRACE_S:
+                claim = f"claimed by {self.newer_source}"
+                difference = Difference(f"version {self.newer_version}", claim, f"version {event.version}")
+                outputs = self._report(difference, "the last contact with the core")
+                self.newer_version = 0
+            if self.fetch_attempts > 1:
                 self.unattributed_version = 0
-        if e.version > self.version:
-            self._note_newer(now, e.version, "")
-        return out
+        if event.version > self.version:
+            self._on_newer_version(now, event.version, "")
+        return outputs
 
-    def _catch_up(self, now: float) -> list[Any]:
+    def _catch_up(self, now: float) -> list[DetectorOutput]:
         """Fetch a newer version that the change log doesn't deliver, from its advertiser or the core."""
-        unreadable_version = self.newest == self.unreadable_version > 0
-        if now - self.fetched_at < (UNREADABLE_FETCH_INTERVAL_S if unreadable_version else FETCH_INTERVAL_S):
+        is_unreadable = self.newer_version == self.unreadable_version > 0
+        interval_s = UNREADABLE_FETCH_INTERVAL_S if is_unreadable else FETCH_INTERVAL_S
+        if now - self.fetched_at < interval_s:
             return []
-        if self.newest > self.version and now - self.since >= FETCH_INTERVAL_S:
+        if self.newer_version > self.version and now - self.newer_since >= FETCH_INTERVAL_S:
             self.fetched_at = now
-            self.tries = self.tries + 1
-            return [
-                FetchVersion(self.newest, self.source if self.tries % 2 else "", again=unreadable_version)
-            ]
-        if self.unattributed_version > self.version and self.tries < MAX_UNATTRIBUTED_FETCHES:
+            self.fetch_attempts += 1
+            source = self.newer_source if self.fetch_attempts % 2 else ""
+            return [FetchVersion(self.newer_version, source, again=is_unreadable)]
+        if self.unattributed_version > self.version and self.fetch_attempts < MAX_UNATTRIBUTED_FETCHES:
             self.fetched_at = now
-            self.tries = self.tries + 1
+            self.fetch_attempts += 1
             return [FetchVersion(self.version + 1, "")]  # any newer one: the advertised one may not exist
         return []
 
     # What runs.
 
-    def _differences_found(self, now: float, e: DifferencesFound) -> list[Any]:
-        out = [told for what in e.differences for told in self._report(what, e.how)]
-        if e.how == SAMPLE:  # if the two implementations disagree, rebuilding doesn't help
-            if out and now - self.sample_rebuilt_at >= SAMPLE_REBUILD_INTERVAL_S:
+    def _on_differences_found(self, now: float, event: DifferencesFound) -> list[DetectorOutput]:
+        """Report what differs, and have the configuration rebuilt or fetched again."""
+        outputs: list[DetectorOutput] = []
+        for difference in event.differences:
+            outputs += self._report(difference, event.check)
+        rebuild = Rebuild(event.differences[0].place)
+        if event.check is Check.SAMPLE:  # if the two implementations disagree, rebuilding doesn't help
+            if outputs and now - self.sample_rebuilt_at >= SAMPLE_REBUILD_INTERVAL_S:
                 self.sample_rebuilt_at = now
-                out.append(Rebuild(e.differences[0].place))
-            return out
-        if self.rebuilt and now - self.rebuilt[-1] < REBUILD_INTERVAL_S and e.how != DIGEST:
-            return out
+                outputs.append(rebuild)
+            return outputs
+        is_recent = bool(self.rebuilt_at) and now - self.rebuilt_at[-1] < REBUILD_INTERVAL_S
+        if is_recent and event.check is not Check.DIGEST:
+            return outputs
         if self._rebuild_limit_reached(now):
-            return out + self._report(Difference("node", f"rebuilt {MAX_REBUILDS} times", "once"), "no cure")
-        self.rebuilt.append(now)
-        if len(self.rebuilt) > 1:  # the stored value itself may be corrupt
-            out.append(FetchVersion(self.version, "", again=True))
-            if e.how == DIGEST:
-                return out
-        return [*out, Rebuild(e.differences[0].place)]
+            difference = Difference("node", f"rebuilt {MAX_REBUILDS} times", "once")
+            return outputs + self._report(difference, "no cure")
+        self.rebuilt_at.append(now)
+        if len(self.rebuilt_at) > 1:  # the stored value itself may be corrupt
+            outputs.append(FetchVersion(self.version, "", again=True))
+            if event.check is Check.DIGEST:
+                return outputs
+        return [*outputs, rebuild]
 
     def _rebuild_limit_reached(self, now: float) -> bool:
         """Whether there were `MAX_REBUILDS` rebuilds of late, so that another one won't help."""
-        while self.rebuilt and now - self.rebuilt[0] > REBUILD_FORGET_S:
-            self.rebuilt.popleft()
-        return len(self.rebuilt) >= MAX_REBUILDS
+        while self.rebuilt_at and now - self.rebuilt_at[0] > REBUILD_RETENTION_S:
+            self.rebuilt_at.popleft()
+        return len(self.rebuilt_at) >= MAX_REBUILDS
 
-    def _report(self, what: Difference, how: str) -> list[Any]:
+    def _report(self, difference: Difference, how: str) -> list[DetectorOutput]:
         """A finding, unless the same one was reported of late."""
-        now = self.last or 0.0
-        if now - self.known_findings.pop(what, -1e9) <= FORGET_S:
-            self.known_findings[what] = now
+        now = self.last_event_at or 0.0
+        if now - self.known_findings.pop(difference, LONG_AGO) <= FINDING_RETENTION_S:
+            self.known_findings[difference] = now
             return []
         if len(self.known_findings) >= MAX_KNOWN_FINDINGS:
             del self.known_findings[next(iter(self.known_findings))]
-        self.known_findings[what] = now
+        self.known_findings[difference] = now
         finding = Finding(
-            what.place[:MAX_TEXT_LENGTH],
-            what.running[:MAX_TEXT_LENGTH],
-            what.set[:MAX_TEXT_LENGTH],
+            difference.place[:MAX_TEXT_LENGTH],
+            difference.running[:MAX_TEXT_LENGTH],
+            difference.set[:MAX_TEXT_LENGTH],
             self.version,
-            how,
+            str(how),
         )
-        self.found += 1
+        self.finding_count += 1
         self.findings.append(finding)
         return [finding]
 
     # Time.
 
-    def _paused(self, now: float, gap: float) -> None:
-        """The process was suspended for `gap` seconds, in which it couldn't receive anything."""
-        self.since += gap
-        if gap > self.apply_s:
+    def _on_resume(self, now: float, gap_s: float) -> None:
+        """The process was suspended for `gap_s` seconds, in which it couldn't receive anything."""
+        self.newer_since += gap_s
+        if gap_s > self.apply_s:
             self.resumed_at = now
 
-    def _tick(self, now: float, e: Tick) -> list[Any]:
-        out = self._catch_up(now)
-        if self.newest > self.version and now - self.since >= REFUSE_RATIO * self.apply_s:
-            what = Difference("version", str(self.version), str(self.newest))
-            out += self._report(what, f"can't be had for {REFUSE_RATIO * self.apply_s:g} s")
-        if self.version and now - max(self.confirmed or self.began, self.resumed_at) > SILENT_S:
-            out += self._report(Difference("core", "unheard", "heard"), f"for {SILENT_S:g} s")
-        return out
+    def _tick(self, now: float) -> list[DetectorOutput]:
+        outputs = self._catch_up(now)
+        refuse_after_s = REFUSE_RATIO * self.apply_s
+        if self.newer_version > self.version and now - self.newer_since >= refuse_after_s:
+            difference = Difference("version", str(self.version), str(self.newer_version))
+            outputs += self._report(difference, f"can't be had for {refuse_after_s:g} s")
+        contact_at = max(self.confirmed_at or self.first_applied_at, self.resumed_at)
+        if self.version and now - contact_at > CORE_TIMEOUT_S:
+            outputs += self._report(Difference("core", "unheard", "heard"), f"for {CORE_TIMEOUT_S:g} s")
+        return outputs
 
-    def _state(self, now: float) -> list[Any]:
+    def _state_changes(self, now: float) -> list[DetectorOutput]:
         """Readiness and refusal of requests, where they have changed."""
         lag = self.lag()
-        out = list[Any]()
-        ready = (
-            lag < UNREADY_RATIO * self.apply_s
-            and not self._rebuild_limit_reached(now)
-            and not self.core_not_heard
-        )
-        why = self._refusal(now, lag)
+        outputs: list[DetectorOutput] = []
+        is_behind = lag >= UNREADY_RATIO * self.apply_s
+        ready = not is_behind and not self._rebuild_limit_reached(now) and not self.core_not_heard
+        reason = self._refusal(now, lag)
         if ready != self.ready:
             self.ready = ready
-            out.append(ReadinessChanged(ready))
-        if why != self.why:
-            self.why = why
-            self.refusing = bool(why)
-            out.append(RefusalChanged(self.refusing, why))
-        return out
+            outputs.append(ReadinessChanged(ready))
+        if reason != self.refusal_reason:
+            self.refusal_reason = reason
+            outputs.append(RefusalChanged(bool(reason), reason))
+        return outputs
 
     def _refusal(self, now: float, lag: float) -> str:
         """Why requests are rejected; empty if they aren't."""
         if lag >= REFUSE_RATIO * self.apply_s:
-            return "a newer version is known of"
+            return NEWER_VERSION_KNOWN
         if self.core_not_heard:
             return CORE_NOT_HEARD
-        if self.confirmed is None:
+        if self.confirmed_at is None:
             return ""
-        if self.confirmed < self.resumed_at and now - self.resumed_at < RESUME_GRACE_S:
-            return "woken"
-        if (
-            self.refuse_after_s is not None
-            and now - max(self.confirmed, self.resumed_at) > self.refuse_after_s
-        ):
-            return "no contact with the core"
+        if self.confirmed_at < self.resumed_at and now - self.resumed_at < RESUME_GRACE_S:
+            return RESUMED
+        contact_at = max(self.confirmed_at, self.resumed_at)
+        if self.refuse_after_s is not None and now - contact_at > self.refuse_after_s:
+            return NO_CORE_CONTACT
         return ""
--- a/gateway/drift/fleet_status.py
+++ b/gateway/drift/fleet_status.py
@@ -3,34 +3,63 @@
 from __future__ import annotations
 
 from collections import OrderedDict, deque
-from typing import Any, NamedTuple
+from typing import NamedTuple, assert_never
 
-from gateway.drift.messages import Finding, NodeReport, VersionAcknowledged
+from gateway.drift.events import FleetEvent, NodeReport, Tick, VersionAcknowledged
+from gateway.drift.outputs import Finding
 from gateway.state_machine import Address
 
 MAX_NODES = 4096  # further ones are ignored
-SILENT_S = 10.0  # without a report for so long a node is shown as silent,
-FORGET_AFTER_S = 120.0  # and then forgotten
+NODE_TIMEOUT_S = 10.0  # without a report for so long a node is shown as silent,
+NODE_RETENTION_S = 120.0  # and then forgotten
 CONTACT_GAP_S = 2.5  # between two reports of a node that counts as in touch
+CHECK_INTERVAL_S = 0.5  # between two searches for nodes that are behind
 MAX_VERSIONS = 32  # acknowledged versions whose time is remembered
-# findings kept, characters of one
-MAX_FINDINGS = 32
-MAX_TEXT_LENGTH = 400
+MAX_FINDINGS = 32  # findings kept
+MAX_TEXT_LENGTH = 400  # characters of one
 
 
-class Node:
-    """What a node has reported of itself."""
+class AcknowledgedVersion(NamedTuple):
+    """When a version was acknowledged, and its digest."""
+
+    at: float
+    digest: int
+
+
+class LagReported(NamedTuple):
+    """It was found that a node lacks this version."""
+
+    version: int
+
+
+class DigestReported(NamedTuple):
+    """It was found that a node runs another digest than the acknowledged one of this version."""
+
+    version: int
+    digest: int
+
 
-    __slots__ = ("heard", "since", "version", "digest", "findings", "finding", "told")
+class Node:
+    """What a node has reported of itself, and what was last found about it."""
+
+    __slots__ = (
+        "digest",
+        "finding",
+        "findings",
+        "in_touch_since",
+        "last_found",
+        "last_heard_at",
+        "version",
+    )
 
     def __init__(self, now: float) -> None:
-        self.since = now  # in touch since then, without a gap
-        self.heard = 0.0
+        self.in_touch_since = now  # without a gap
+        self.last_heard_at = 0.0
         self.version = 0
         self.digest = 0
-        self.findings = 0
-        self.finding = ""
-        self.told = (0, 0)  # version and digest of the last finding about it
+        self.findings = 0  # number of its own findings
+        self.finding = ""  # the latest of them
+        self.last_found: LagReported | DigestReported | None = None
 
 
 class NodeRow(NamedTuple):
@@ -46,107 +75,134 @@
 
 
 class FleetStatus:
-    """State machine. Inputs: `NodeReport`, `VersionAcknowledged`, `Tick`. Outputs: `Finding`, once for each
-    node and version that it lacks, for each digest that isn't the acknowledged one, and for each finding that
-    a node reports.
+    """State machine at a controller.
+
+    A finding comes out once for each node and version that it lacks, for each digest that isn't the
+    acknowledged one, and for each finding that a node reports.
 
-    `apply_s` is the time in seconds in which a version has to be in force. `spread_s` is the time from the
-    newest version's acknowledgement to the last report, so far, of a node in touch that it is in force."""
+    Attributes:
+        spread_s: The time from the newest version's acknowledgement to the last report, so far, of a node in
+            touch that it is in force.
+    """
 
     def __init__(self, apply_s: float) -> None:
+        """`apply_s` is the time in seconds in which a version has to be in force."""
         self.apply_s = apply_s
         self.nodes: OrderedDict[Address, Node] = OrderedDict()
-        self.version = 0
-        # by version: time of its acknowledgement, and digest
-        self.times: OrderedDict[int, tuple[float, int]] = OrderedDict()
+        self.version = 0  # the newest acknowledged one
+        self.acknowledged: OrderedDict[int, AcknowledgedVersion] = OrderedDict()  # by version
         self.findings: deque[str] = deque(maxlen=MAX_FINDINGS)
-        self.found = 0
+        self.finding_count = 0
         self.checked_at = 0.0
         self.spread_s = 0.0
 
-    def handle(self, now: float, event: Any) -> list[Finding]:
-        """Handle an input; returns new findings."""
-        if isinstance(event, NodeReport):
-            return self._runs(now, event)
-        if isinstance(event, VersionAcknowledged):
-            if event.version > self.version:
-                self.version = event.version
-                self.spread_s = 0.0
-                self.times[event.version] = now, event.digest
-                if len(self.times) > MAX_VERSIONS:
-                    self.times.popitem(last=False)
-            return []
-        if now - self.checked_at < 0.5:
+    def handle(self, now: float, event: FleetEvent) -> list[Finding]:
+        """Handle an event; returns new findings."""
+        match event:
+            case NodeReport():
+                return self._on_node_report(now, event)
+            case VersionAcknowledged():
+                self._on_version_acknowledged(now, event)
+                return []
+            case Tick():
+                return self._tick(now)
+            case _:
+                assert_never(event)
+
+    def _on_version_acknowledged(self, now: float, event: VersionAcknowledged) -> None:
+        if event.version <= self.version:
+            return
+        self.version = event.version
+        self.spread_s = 0.0
+        self.acknowledged[event.version] = AcknowledgedVersion(now, event.digest)
+        if len(self.acknowledged) > MAX_VERSIONS:
+            self.acknowledged.popitem(last=False)
+
+    def _tick(self, now: float) -> list[Finding]:
+        """Forget silent nodes, and find those that are behind."""
+        if now - self.checked_at < CHECK_INTERVAL_S:
             return []
         self.checked_at = now
-        for address in [a for a, n in self.nodes.items() if now - n.heard > FORGET_AFTER_S]:
-            del self.nodes[address]
-        return [
-            f for a, n in self.nodes.items() if n.version < self.version for f in self._lag_finding(now, a, n)
-        ]
-
-    def _runs(self, now: float, e: NodeReport) -> list[Finding]:
-        node = self.nodes.get(e.node)
+        for address, node in list(self.nodes.items()):
+            if now - node.last_heard_at > NODE_RETENTION_S:
+                del self.nodes[address]
+        findings: list[Finding] = []
+        for address, node in self.nodes.items():
+            if node.version < self.version:
+                findings += self._lag_finding(now, address, node)
+        return findings
+
+    def _on_node_report(self, now: float, report: NodeReport) -> list[Finding]:
+        node = self.nodes.get(report.node)
         if node is None:
             if len(self.nodes) >= MAX_NODES:
                 return []
-            node = self.nodes[e.node] = Node(now)
-        out = []
-        if e.finding and (e.findings, e.finding) != (node.findings, node.finding):
-            out.append(Finding(f"node {e.node}", e.finding[:MAX_TEXT_LENGTH], "", e.version, "its own word"))
-        if now - node.heard > CONTACT_GAP_S:
-            node.since = now
-        elif node.version < self.version <= e.version:
-            self.spread_s = now - self.times[self.version][0]
-        node.heard = now
-        node.version = e.version
-        node.digest = e.digest
-        node.findings = e.findings
-        node.finding = e.finding[:MAX_TEXT_LENGTH]
-        acknowledged = self.times.get(e.version)
-        if acknowledged is not None and acknowledged[1] != e.digest and node.told != (e.version, e.digest):
-            node.told = e.version, e.digest
-            out.append(
-                Finding(
-                    f"node {e.node}",
-                    f"digest {e.digest:016x}",
-                    f"digest {acknowledged[1]:016x}",
-                    e.version,
-                    "its digest",
-                )
-            )
-        return self._record_findings(out)
+            node = Node(now)
+            self.nodes[report.node] = node
+        findings = []
+        if report.finding and (report.findings, report.finding) != (node.findings, node.finding):
+            text = report.finding[:MAX_TEXT_LENGTH]
+            findings.append(Finding(f"node {report.node}", text, "", report.version, "its own word"))
+        if now - node.last_heard_at > CONTACT_GAP_S:
+            node.in_touch_since = now
+        elif node.version < self.version <= report.version:
+            self.spread_s = now - self.acknowledged[self.version].at
+        node.last_heard_at = now
+        node.version = report.version
+        node.digest = report.digest
+        node.findings = report.findings
+        node.finding = report.finding[:MAX_TEXT_LENGTH]
+        return self._record_findings([*findings, *self._digest_finding(node, report)])
+
+    def _digest_finding(self, node: Node, report: NodeReport) -> list[Finding]:
+        """A finding if a node runs another digest than the acknowledged one, unless it was the last one."""
+        acknowledged = self.acknowledged.get(report.version)
+        found = DigestReported(report.version, report.digest)
+        if acknowledged is None or acknowledged.digest == report.digest or node.last_found == found:
+            return []
+        node.last_found = found
+        running = f"digest {report.digest:016x}"
+        expected = f"digest {acknowledged.digest:016x}"
+        return [Finding(f"node {report.node}", running, expected, report.version, "its digest")]
 
     def _lag_finding(self, now: float, address: Address, node: Node) -> list[Finding]:
         """A finding if a node in touch has reported for longer than `apply_s` that it lacks a version."""
-        late = node.heard - max(node.since, now - self.lag(now, node)) > self.apply_s
-        if not late or node.told[0] == -self.version:
+        lag = self.lag(now, node)
+        is_late = node.last_heard_at - max(node.in_touch_since, now - lag) > self.apply_s
+        found = LagReported(self.version)
+        if not is_late or node.last_found == found:
             return []
-        node.told = -self.version, 0
-        return self._record_findings(
-            [
-                Finding(
-                    f"node {address}",
-                    f"version {node.version}",
-                    f"version {self.version}",
-                    self.version,
-                    f"for {self.lag(now, node):.1f} s",
-                )
-            ]
+        node.last_found = found
+        finding = Finding(
+            f"node {address}",
+            f"version {node.version}",
+            f"version {self.version}",
+            self.version,
+            f"for {lag:.1f} s",
         )
+        return self._record_findings([finding])
 
-    def _record_findings(self, found: list[Finding]) -> list[Finding]:
-        self.found += len(found)
-        self.findings.extend(map(str, found))
-        return found
+    def _record_findings(self, findings: list[Finding]) -> list[Finding]:
+        self.finding_count += len(findings)
+        self.findings.extend(map(str, findings))
+        return findings
 
     def lag(self, now: float, node: Node) -> float:
         """Seconds since the acknowledgement of the first version that the node lacks; 0: none."""
-        return next((now - at for version, (at, _) in self.times.items() if version > node.version), 0.0)
+        missing = (now - known.at for version, known in self.acknowledged.items() if version > node.version)
+        return next(missing, 0.0)
 
-    def seen(self, now: float) -> list[NodeRow]:
+    def rows(self, now: float) -> list[NodeRow]:
         """All known nodes, sorted by address."""
         return [
-            NodeRow(a, n.version, n.digest, self.lag(now, n), now - n.heard, n.findings, n.finding)
-            for a, n in sorted(self.nodes.items())
+            NodeRow(
+                address,
+                node.version,
+                node.digest,
+                self.lag(now, node),
+                now - node.last_heard_at,
+                node.findings,
+                node.finding,
+            )
+            for address, node in sorted(self.nodes.items())
         ]
--- a/gateway/drift/live_check.py
+++ b/gateway/drift/live_check.py
@@ -3,14 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from http import HTTPStatus
 from typing import NamedTuple
 
 from gateway.config.digest import DriftScanner, ExpectedDigests, ItemValues, digest, iterate_items, values_of
 from gateway.config.document import Document
 from gateway.config.reference import compare_decision, evaluate
-from gateway.config.routing import CompiledConfig, Route, RouteDecision
+from gateway.config.routing import CompiledConfig, Route, RouteDecision, Tenant
 from gateway.config.schema import Difference
-from gateway.drift.detector import SAMPLE
+from gateway.drift.events import Check
 
 SAMPLE_INTERVAL = 50  # at most one request in so many is also evaluated directly on the document
 ENTRIES_PER_REQUEST = 5  # a sample costs by the number of entries, so large documents are sampled less often
@@ -20,34 +21,47 @@
 
 
 class CheckResult(NamedTuple):
-    """The result of a check: which one (`request`, `sample`, `round`), and the differences, usually none."""
+    """The result of a check, and the differences, usually none."""
 
-    how: str
+    check: Check
     differences: Sequence[Difference]
 
 
-NO_DIFFERENCE = CheckResult("", ())
-UNKNOWN_ROUTE: tuple[ItemValues, bytes] = (), b""
+NO_DIFFERENCE = CheckResult(Check.REQUEST, ())
+
+
+class VerifiedRoute(NamedTuple):
+    """A route that was checked at its first use: its expected values, and its prefix."""
+
+    values: ItemValues
+    prefix: bytes
+
+
+UNKNOWN_ROUTE = VerifiedRoute((), b"")
 
 
 class LiveCheck:
     """Checks the decisions of one compiled configuration. Created anew for each version.
 
     `check` is for each live request, `idle` for times with few of them.
+
+    Attributes:
+        requests: Requests checked, since the process started.
+        sampled: Of these, the ones also evaluated directly on the document.
     """
 
     __slots__ = (
         "document",
         "expected",
         "compiled_config",
-        "watch",
-        "routes",
-        "every",
-        "left",
+        "next_scan_at",
+        "rejected_sample_at",
         "requests",
+        "sample_interval",
         "sampled",
-        "odd",
-        "due",
+        "scanner",
+        "until_sample",
+        "verified_routes",
     )
 
     def __init__(
@@ -60,83 +74,79 @@
         self.document = document
         self.expected = expected
         self.compiled_config = compiled_config
-        self.watch = DriftScanner(compiled_config, expected)
-        # routes used so far: expected values, and the prefix
-        self.routes: dict[Route, tuple[ItemValues, bytes]] = {}
-        self.every = max(SAMPLE_INTERVAL, len(document.entries) // ENTRIES_PER_REQUEST)
-        self.left = self.every
+        self.scanner = DriftScanner(compiled_config, expected)
+        self.verified_routes: dict[Route, VerifiedRoute] = {}  # those used so far
+        # One request in so many is sampled.
+        self.sample_interval = max(SAMPLE_INTERVAL, len(document.entries) // ENTRIES_PER_REQUEST)
+        self.until_sample = self.sample_interval
         self.requests: int = previous.requests if previous else 0
         self.sampled: int = previous.sampled if previous else 0
-        self.odd = 0.0
-        self.due = 0.0
+        self.rejected_sample_at = 0.0  # when a rejected request may be sampled again
+        self.next_scan_at = 0.0
 
     def check(
         self, now: float, host: bytes, path: bytes, key: bytes, route_decision: RouteDecision
     ) -> CheckResult:
         """Check a decision: its route and tenant at each request, the whole decision at a sampled one."""
         self.requests += 1
-        r = route_decision.route
-        tenant = route_decision.tenant
+        route = route_decision.route
         path_mismatch = False
-        if r is not None:
-            values, prefix = self.routes.get(r, UNKNOWN_ROUTE)
-            if values != (
-                r.label,
-                r.host,
-                r.prefix,
-                r.safe,
-                r.deadline,
-                r.target_latency,
-                r.precedence,
-                r.tries,
-                r.public,
-                r.targets,
-                r.cumulative_shares,
-            ):
-                if found := self.route(r):
-                    return CheckResult("request", found)
-                prefix = self.routes[r][1]
-            path_mismatch = not path.startswith(prefix)
-        if tenant is not None:
-            item = self.expected.items.get(("key", key, b""))
-            if item is None or item.values != (tenant.label, tenant.precedence, tenant.rate, tenant.burst):
-                return CheckResult("request", self.watch.check_item(("key", key, b""), tenant))
-        self.left -= 1
-        if self.left <= 0:
-            self.left = self.every
-        elif (route_decision.status == 200 and not path_mismatch) or now < self.odd:
-            return (
-                CheckResult("round", self.watch.step(1))
-                if not self.left % REQUESTS_PER_STEP
-                else NO_DIFFERENCE
-            )
-        self.odd = now + REJECTED_SAMPLE_INTERVAL_S
+        if route is not None:
+            verified = self.verified_routes.get(route, UNKNOWN_ROUTE)
+            if verified.values != route.values():
+                if differences := self._verify_route(route):
+                    return CheckResult(Check.REQUEST, differences)
+                verified = self.verified_routes[route]
+            path_mismatch = not path.startswith(verified.prefix)
+        tenant_differences = self._check_tenant(key, route_decision.tenant)
+        if tenant_differences:
+            return CheckResult(Check.REQUEST, tenant_differences)
+        self.until_sample -= 1
+        is_allowed = route_decision.status == HTTPStatus.OK and not path_mismatch
+        if self.until_sample <= 0:
+            self.until_sample = self.sample_interval
+        elif is_allowed or now < self.rejected_sample_at:
+            if self.until_sample % REQUESTS_PER_STEP:
+                return NO_DIFFERENCE
+            return CheckResult(Check.SCAN, self.scanner.step(1))
+        self.rejected_sample_at = now + REJECTED_SAMPLE_INTERVAL_S
         self.sampled += 1
-        return CheckResult(SAMPLE, compare_decision(route_decision, evaluate(self.document, host, path, key)))
-
-    def route(self, r: Route) -> list[Difference]:
+        expected = evaluate(self.document, host, path, key)
+        return CheckResult(Check.SAMPLE, compare_decision(route_decision, expected))
+
+    def _check_tenant(self, key: bytes, tenant: Tenant | None) -> Sequence[Difference]:
+        if tenant is None:
+            return ()
+        name = ("key", key, b"")
+        item = self.expected.items.get(name)
+        if item is not None and item.values == tenant.values():
+            return ()
+        return self.scanner.check_item(name, tenant)
+
+    def _verify_route(self, route: Route) -> list[Difference]:
         """Check a route at its first use, or when it has changed since."""
-        name = ("route", str(r.host).encode(), str(r.prefix).encode())
-        found = self.watch.check_item(name, r)
-        if not found:
-            self.routes[r] = self.expected.items[name].values, name[2]
-        return found
+        prefix = str(route.prefix).encode()
+        name = ("route", str(route.host).encode(), prefix)
+        differences = self.scanner.check_item(name, route)
+        if not differences:
+            self.verified_routes[route] = VerifiedRoute(self.expected.items[name].values, prefix)
+        return differences
 
     def idle(self, now: float) -> list[Difference]:
         """Advance the scan in times of few requests."""
-        if now < self.due <= now + IDLE_STEP_INTERVAL_S:
+        if now < self.next_scan_at <= now + IDLE_STEP_INTERVAL_S:
             return []
-        self.due = now + IDLE_STEP_INTERVAL_S
-        return self.watch.step(1)
+        self.next_scan_at = now + IDLE_STEP_INTERVAL_S
+        return self.scanner.step(1)
 
 
 def running_digest(compiled_config: CompiledConfig, expected: ExpectedDigests) -> int:
     """The digest of a compiled configuration; cheap if it is as expected."""
     items = expected.items
     count = 0
-    for name, thing in iterate_items(compiled_config):
-        item = items.get(name)
-        if item is None or item.values != values_of(thing):
+    for key, running in iterate_items(compiled_config):
+        item = items.get(key)
+        if item is None or item.values != values_of(running):
             return digest(compiled_config)
         count += 1
     return expected.total if count == len(items) else digest(compiled_config)
--- a/gateway/drift/metrics.py
+++ b/gateway/drift/metrics.py
@@ -16,7 +16,8 @@
     """One sample; a name ending in `_total` is a counter. A value of None is left out.
 
     Samples of one name must be adjacent, with labels such as `way="holder"`; so must the `_bucket`, `_sum`
-    and `_count` of a histogram."""
+    and `_count` of a histogram.
+    """
 
     name: str
     help: str
--- a/gateway/drift/quota_windows.py
+++ b/gateway/drift/quota_windows.py
@@ -18,17 +18,17 @@
     return {label: window for label, window in windows.items() if window is not None}
 
 
-def quota_differences(quota_windows: Windows, windows: Windows) -> list[Difference]:
-    """Where the windows in force (`windows`) differ from the expected ones (`quota_windows`)."""
-    if quota_windows == windows:
+def quota_differences(expected: Windows, running: Windows) -> list[Difference]:
+    """Where the windows in force differ from the expected ones."""
+    if expected == running:
         return []
-    labels = sorted(quota_windows.keys() | windows.keys())
+    labels = sorted(expected.keys() | running.keys())
     return [
-        Difference(f"quota {label}", _told(windows.get(label)), _told(quota_windows.get(label)))
+        Difference(f"quota {label}", _describe(running.get(label)), _describe(expected.get(label)))
         for label in labels
-        if windows.get(label) != quota_windows.get(label)
+        if running.get(label) != expected.get(label)
     ]
 
 
-def _told(window: Window | None) -> str:
+def _describe(window: Window | None) -> str:
     return "no limit" if window is None else f"{window.allowance:g} in {window.length_s:g} s"
--- a/gateway/programs/controller.py
+++ b/gateway/programs/controller.py
@@ -5,18 +5,19 @@
 import asyncio
 import os
 import random
-from typing import Any
+
+from google.protobuf.message import Message
 
 from gateway.consensus import events as consensus_events
 from gateway.consensus.consensus_pb2 import Message as ConsensusMessage
 from gateway.consensus.entry import PersistentState
 from gateway.consensus.store import Store
-from gateway.membership.membership_pb2 import Message as MembershipNote
+from gateway.membership.membership_pb2 import Message as MembershipMessage
 from gateway.programs import startup
 from gateway.programs.controller_node import ControllerNode
 from gateway.programs.settings_reload import Reload, start_maintenance
 from gateway.programs.startup import CONSENSUS, MEMBERSHIP, QUOTA
-from gateway.quota.quota_pb2 import Message as QuotaNote
+from gateway.quota.quota_pb2 import Message as QuotaMessage
 from gateway.runtime.clock import PROCESS_START, steady
 from gateway.runtime.disk_thread import DiskThread
 from gateway.runtime.http_listener import HttpListener
@@ -51,15 +52,15 @@
                 ),
                 MEMBERSHIP: Plane(
                     MEMBERSHIP,
-                    MembershipNote,
+                    MembershipMessage,
                     self.controller_node.on_membership_message,
                     startup.membership_slot,
                 ),
-                QUOTA: Plane(QUOTA, QuotaNote, self.controller_node.on_quota_message),
+                QUOTA: Plane(QUOTA, QuotaMessage, self.controller_node.on_quota_message),
             },
         )
 
-    def send(self, to: Address, plane: int, message: Any) -> None:
+    def send(self, to: Address, plane: int, message: Message) -> None:
         """Send a message of a plane to another process, or drop it."""
         self.port.send(to, plane, message)
 
@@ -81,7 +82,7 @@
     controller = ControllerServer(loop, settings, store, rng)
     controller_node = controller.controller_node
     await controller.port.open()
-    reload = Reload(settings, file, controller_node.seeds)
+    reload = Reload(settings, file, controller_node.set_seeds)
     stop = startup.stop_on_signal(loop, reload.read)
     second = start_maintenance(loop, reload, ring)
     ticker = Ticker(loop, TICK_S, controller.tick)
--- a/gateway/programs/controller_node.py
+++ b/gateway/programs/controller_node.py
@@ -6,29 +6,37 @@
 import logging
 import random
 from collections.abc import Callable
-from typing import Any, Protocol
+from http import HTTPStatus
+from typing import NamedTuple, Protocol, assert_never
 
+from google.protobuf.message import Message
+
+from gateway.config.changes import ConfigState, without_history
 from gateway.config.digest import ExpectedDigests
-from gateway.config.orders import ConfigState, without_order_history
+from gateway.config.errors import MalformedStateError
 from gateway.consensus import events as consensus_events
 from gateway.consensus import outputs as consensus_outputs
-from gateway.consensus.entry import PersistentState
+from gateway.consensus.consensus_pb2 import Message as ConsensusMessage
+from gateway.consensus.entry import LogPosition, PersistentState
 from gateway.consensus.raft import RaftConfig, RaftNode
 from gateway.membership import codec as membership_codec
 from gateway.membership import events as membership_events
 from gateway.membership import outputs as membership_outputs
 from gateway.membership.codec import ZonedAddress
 from gateway.membership.controller import ControllerMembership
+from gateway.membership.membership_pb2 import Message as MembershipMessage
 from gateway.membership.types import ValueKind
 from gateway.programs import startup, status_report
-from gateway.programs.control_api import Control
+from gateway.programs.control_api import ControlApi
 from gateway.programs.fleet_monitor import JSON, FleetMonitor
-from gateway.programs.quota_report import HolderReport
+from gateway.programs.quota_report import OwnerReport
 from gateway.programs.startup import CONSENSUS, MEMBERSHIP, QUOTA
 from gateway.quota import events as quota_events
 from gateway.quota import outputs as quota_outputs
+from gateway.quota.quota_pb2 import Message as QuotaMessage
 from gateway.quota.shard_assigner import ShardAssigner
 from gateway.quota.shard_owner import ShardOwner
+from gateway.quota.window import Window
 from gateway.runtime import config_events
 from gateway.runtime.http_listener import HttpCall, Reply
 from gateway.runtime.settings import Settings
@@ -36,6 +44,7 @@
 
 PEER_ALIVE_S = 1.0  # a member heard within this time counts as live
 PUBLISH_INTERVAL_S = 0.5  # between two publications of the list of proxies
+DIGEST_BYTES = 8
 
 log = logging.getLogger("gateway.controller")
 
@@ -43,18 +52,39 @@
 class Driver(Protocol):
     """Carries out the outputs of the state machines."""
 
-    def send(self, to: Address, plane: int, message: Any) -> None:
+    def send(self, to: Address, plane: int, message: Message) -> None:
         """Send a message of a plane to another process, or drop it."""
 
     def write(self, token: int, record: PersistentState) -> None:
         """Save a record; `ControllerNode.written` or `write_failed` is called with the token later on."""
 
 
+class PublishedCore(NamedTuple):
+    """What was last published of the core."""
+
+    members: tuple[Address, ...]
+    position: LogPosition | None
+    leader: Address | None
+    quorate: bool
+
+
+class PublishedIngresses(NamedTuple):
+    """What was last published of the proxies, and in which term."""
+
+    term: int
+    ingresses: list[ZonedAddress]
+
+
 class ControllerNode:
     """The state machines of one controller: consensus, membership, quota and drift watch.
 
-    `clock` gives monotonic seconds, `stored` is what its disk holds, and `began` is when this process started
-    by that clock (None: now).
+    Args:
+        driver: Carries out the outputs.
+        clock: Gives monotonic seconds.
+        settings: The settings of the process.
+        stored: What its disk holds.
+        rng: For all state machines.
+        process_started_at: When this process started by that clock; None: now.
     """
 
     def __init__(
@@ -64,7 +94,7 @@
         settings: Settings,
         stored: PersistentState | None,
         rng: random.Random,
-        began: float | None = None,
+        process_started_at: float | None = None,
     ) -> None:
         self.driver = driver
         self.clock = clock
@@ -80,30 +110,30 @@
             durable=settings.own.counted or settings.own.data_dir is not None,
         )
         new_disk_id = f"disk-{rng.getrandbits(64):x}"
-        self.raft = RaftNode(raft_config, stored, rng, new_disk_id, clock(), began)
+        self.raft = RaftNode(raft_config, stored, rng, new_disk_id, clock(), process_started_at)
         zone = startup.zone_number(settings)
-        self.membership = ControllerMembership(
-            self.me, zone, seeds, settings.provider.beat_s, rng, startup.zone_numbers(settings)
-        )
-        self.membership.handle(clock(), membership_events.SetQuorumContact(self.raft.quorum_contact_until()))
+        heartbeat_interval_s = settings.provider.beat_s
+        zone_numbers = startup.zone_numbers(settings)
+        self.membership = ControllerMembership(self.me, zone, seeds, heartbeat_interval_s, rng, zone_numbers)
+        contact = membership_events.SetQuorumContact(self.raft.quorum_contact_until())
+        self.membership.handle(clock(), contact)
+        bounds = settings.terms.bounds
         self.shard_assigner = ShardAssigner()
-        self.holder = ShardOwner(settings.terms.bounds.quota_window_s, rng)
-        self.holder_report = HolderReport(self.me, self.holder)
+        self.shard_owner = ShardOwner(bounds.quota_window_s, rng)
+        self.owner_report = OwnerReport(self.me, self.shard_owner)
         self.config_state = ConfigState()
         self.version = 0
         self.expected: ExpectedDigests | None = None
-        self.published_core: Any = None
-        # as last published: term, zone and address of each
-        self.ingresses: tuple[int, list[ZonedAddress]] = 0, []
-        self.ingresses_at = -PUBLISH_INTERVAL_S
-        self.told = 0
-        self.control = Control(self, lambda call: self.handle_membership(self.membership, call))
-        bounds = settings.terms.bounds
+        self.published_core: PublishedCore | None = None
+        self.published_ingresses = PublishedIngresses(0, [])
+        self.ingresses_published_at = -PUBLISH_INTERVAL_S
+        self.ingresses_number = 0  # of the newest publication
+        self.control = ControlApi(self, self.handle_membership)
         self.fleet_monitor = FleetMonitor(
             self.me, bounds.apply_s, bounds.quota_window_s, self.push_allowances
         )
 
-    # The interface `ConsensusCore` of `Control`.
+    # The interface `ConsensusCore` of the control API.
 
     def leads(self, now: float) -> bool:
         """Whether this process has the leader lease and can read the committed version."""
@@ -118,7 +148,10 @@
         return self.control_at(leader)
 
     def member_control(self) -> Address | None:
-        members = () if self.me in self.membership.leases.core else self.raft.learner_role.core_addresses
+        """The `control` address of a member of the core, where this process is none and knows one."""
+        if self.me in self.membership.leases.core:
+            return None
+        members = self.raft.learner_role.core_addresses
         others = [member for member in members if member != self.me]
         return self.control_at(self.rng.choice(others)) if others else None
 
@@ -126,9 +159,9 @@
         """Where a controller takes calls, by its own port: ports are alike on all machines."""
         return f"{process.rpartition(':')[0]}:{self.control_port}"
 
-    def propose(self, token: int, value: bytes, expected: int) -> None:
-        """Propose a value to replace the version `expected`."""
-        self.handle_consensus(consensus_events.Propose(token, value, expected))
+    def propose(self, token: int, value: bytes, expected_version: int) -> None:
+        """Propose a value to replace the version `expected_version`."""
+        self.handle_consensus(consensus_events.Propose(token, value, expected_version))
 
     def config_in_force(self) -> tuple[int, ConfigState]:
         """The version and the state in force here."""
@@ -136,193 +169,203 @@
 
     # Messages of other processes.
 
-    def on_consensus_message(self, sender: Address, note: Any) -> None:
+    def on_consensus_message(self, sender: Address, message: ConsensusMessage) -> None:
         """A message of the consensus plane has arrived."""
-        self.handle_consensus(consensus_events.Received(sender, note))
+        self.handle_consensus(consensus_events.Received(sender, message))
 
-    def on_membership_message(self, sender: Address, note: Any) -> None:
+    def on_membership_message(self, sender: Address, message: MembershipMessage) -> None:
         """A message of the membership plane has arrived."""
-        self.handle_membership(self.membership, membership_events.Received(sender, note))
+        self.handle_membership(membership_events.Received(sender, message))
 
-    def on_quota_message(self, sender: Address, note: Any) -> None:
+    def on_quota_message(self, sender: Address, message: QuotaMessage) -> None:
         """A message of the quota plane has arrived."""
-        event = quota_events.Received(sender, note)
-        if note.WhichOneof("kind") != "lease_request":
-            return self.handle_quota(self.holder, event)
+        event = quota_events.Received(sender, message)
+        if message.WhichOneof("kind") != "lease_request":
+            self.handle_shard_owner(event)
+            return
         self.publish_leadership(self.clock())
-        self.handle_quota(self.shard_assigner, event)
+        self.handle_shard_assigner(event)
 
-    # Inputs of the state machines.
+    # Events of the state machines.
 
-    def handle_consensus(self, event: Any) -> None:
-        """Pass an input to the consensus plane and carry out its outputs."""
+    def handle_consensus(self, event: consensus_events.Event) -> None:
+        """Pass an event to the consensus plane and carry out its outputs."""
         now = self.clock()
-        for out in self.raft.handle(now, event):
-            if isinstance(out, Send):
-                self.driver.send(out.to, CONSENSUS, out.message)
-            elif isinstance(out, consensus_outputs.Write):
-                self.driver.write(out.token, out.record)
-            elif isinstance(out, consensus_outputs.Committed):
-                self.committed(out)
-            elif isinstance(out, consensus_outputs.Proposed):
-                self.control.proposed(now, out.token, out.outcome)
-
-    def handle_membership(self, machine: ControllerMembership, event: Any) -> None:
-        """Pass an input to the membership plane and carry out its outputs."""
+        for output in self.raft.handle(now, event):
+            match output:
+                case Send(to, message):
+                    self.driver.send(to, CONSENSUS, message)
+                case consensus_outputs.Write(token, record):
+                    self.driver.write(token, record)
+                case consensus_outputs.Committed():
+                    self.on_committed(output)
+                case consensus_outputs.Proposed(token, outcome):
+                    self.control.on_proposal_outcome(now, token, outcome)
+                case _:
+                    assert_never(output)
+
+    def handle_membership(self, event: membership_events.ControllerEvent) -> None:
+        """Pass an event to the membership plane and carry out its outputs."""
         now = self.clock()
-        for out in machine.handle(now, event):
-            if isinstance(out, Send):
-                self.driver.send(out.to, MEMBERSHIP, out.message)
-            elif isinstance(out, membership_outputs.Acknowledged):
-                target = self.control_at(out.target) if out.target else ""
-                self.control.heartbeat_answered(out.token, True, target)
-            elif isinstance(out, membership_outputs.Rejected):
-                self.control.heartbeat_answered(out.token, False)
-            elif isinstance(out, membership_outputs.RunningConfig):
-                self.fleet_monitor.runs(now, *out)
-            elif isinstance(out, membership_outputs.ConfigAdvertised):
-                self.fleet_monitor.heard(now, *out)
-            elif isinstance(out, membership_outputs.CoreMembers):
-                self.handle_consensus(consensus_events.KnownAddresses(out.members))
-
-    def handle_quota(self, machine: ShardAssigner | ShardOwner, event: Any) -> None:
-        """Pass an input to the shard assigner or shard owner and carry out its outputs."""
-        for out in machine.handle(self.clock(), event):
-            if isinstance(out, Send):
-                self.driver.send(out.to, QUOTA, out.message)
-            elif isinstance(out, quota_outputs.PublishShardMap):
-                self.handle_membership(
-                    self.membership,
-                    membership_events.Publish(ValueKind.SHARD_MAP, out.fencing_token, out.data),
-                )
-
-    def seeds(self, addresses: tuple[Address, ...]) -> None:
+        for output in self.membership.handle(now, event):
+            match output:
+                case Send(to, message):
+                    self.driver.send(to, MEMBERSHIP, message)
+                case membership_outputs.Acknowledged(token, target):
+                    self.control.acknowledge_call(token, self.control_at(target) if target else "")
+                case membership_outputs.Rejected(token):
+                    self.control.reject_call(token)
+                case membership_outputs.RunningConfig():
+                    self.fleet_monitor.on_running_config(now, output)
+                case membership_outputs.ConfigAdvertised():
+                    self.fleet_monitor.on_config_advertised(now, output)
+                case membership_outputs.CoreMembers(_, members):
+                    self.handle_consensus(consensus_events.KnownAddresses(members))
+                case _:  # backends and values concern proxies only
+                    pass
+
+    def handle_shard_owner(self, event: quota_events.OwnerEvent) -> None:
+        """Pass an event to the shard owner and send its messages."""
+        for send in self.shard_owner.handle(self.clock(), event):
+            self.driver.send(send.to, QUOTA, send.message)
+
+    def handle_shard_assigner(self, event: quota_events.AssignerEvent) -> None:
+        """Pass an event to the shard assigner and carry out its outputs."""
+        for output in self.shard_assigner.handle(self.clock(), event):
+            match output:
+                case Send(to, message):
+                    self.driver.send(to, QUOTA, message)
+                case quota_outputs.PublishShardMap(fencing_token, data):
+                    self.handle_membership(
+                        membership_events.Publish(ValueKind.SHARD_MAP, fencing_token, data)
+                    )
+                case _:
+                    assert_never(output)
+
+    def set_seeds(self, addresses: tuple[Address, ...]) -> None:
         """The settings have other seeds."""
-        self.handle_membership(self.membership, membership_events.SetSeeds(addresses))
+        self.handle_membership(membership_events.SetSeeds(addresses))
         self.handle_consensus(consensus_events.KnownAddresses(addresses))
 
     def written(self, token: int) -> None:
         """The record with this token is on disk."""
         self.handle_consensus(consensus_events.WriteCompleted(token))
 
-    def write_failed(self, token: int, why: str) -> None:
+    def write_failed(self, token: int, reason: str) -> None:
         """The record with this token couldn't be saved."""
-        log.warning("the disk failed: %s", why)
-        self.handle_consensus(consensus_events.WriteFailed(token, why))
+        log.warning("disk write failed: %s", reason)
+        self.handle_consensus(consensus_events.WriteFailed(token, reason))
 
-    def committed(self, news: consensus_outputs.Committed) -> None:
+    def on_committed(self, committed: consensus_outputs.Committed) -> None:
         """A value was committed: apply it here, and publish it to the followers."""
         try:
-            self.config_state = self.control.own_value(news.value) or ConfigState.decode(
-                news.value, self.config_state
+            self.config_state = self.control.own_value(committed.value) or ConfigState.decode(
+                committed.value, self.config_state
             )
-        except ValueError as error:
-            log.error("version %d can't be read: %s", news.version, error)
+        except MalformedStateError as error:
+            log.error("configuration version %d can't be read: %s", committed.version, error)
             return
-        first = not self.version
-        self.version = news.version
+        is_first = not self.version
+        self.version = committed.version
         document = self.config_state.document
         if document is None:
             return
         self.expected = ExpectedDigests(document, self.expected)
-        digest = self.expected.total.to_bytes(8)
-        value = without_order_history(news.value)
-        self.handle_membership(
-            self.membership,
-            membership_events.Publish(ValueKind.CONFIG, FencingToken(0, news.version), value, digest),
-        )
-        self.handle_membership(self.membership, membership_events.ConfigApplied(news.version, digest))
+        digest = self.expected.total.to_bytes(DIGEST_BYTES)
+        value = without_history(committed.value)
+        fencing_token = FencingToken(0, committed.version)
+        self.handle_membership(membership_events.Publish(ValueKind.CONFIG, fencing_token, value, digest))
+        self.handle_membership(membership_events.ConfigApplied(committed.version, digest))
         self.push_allowances()
-        self.fleet_monitor.config_applied(self.clock(), news.version, self.expected.total, document)
-        config_events.in_force(self.me, news.version, document.generation, first)
+        self.fleet_monitor.config_applied(self.clock(), committed.version, self.expected.total, document)
+        config_events.config_in_force(self.me, committed.version, document.generation, is_first)
 
     def push_allowances(self) -> None:
         """Pass the tenants' rates and bursts of the document to the shard owner."""
         document = self.config_state.document
         if document is not None:
             tenants = {t.label: quota_events.RateLimit(t.rate, t.burst) for t in document.tenants.values()}
-            self.handle_quota(self.holder, quota_events.Allowances(tenants))
+            self.handle_shard_owner(quota_events.Allowances(tenants))
 
     def answer(self, http_call: HttpCall, reply: Reply) -> None:
         """Answer an HTTP call to `control`."""
+        now = self.clock()
         path = http_call.path.partition("?")[0]
-        if http_call.method == "GET" and path in (status_report.CORE, status_report.LEASES):
-            now = self.clock()
-            core = path == status_report.CORE
-            told = status_report.core(self.raft, now) if core else status_report.leases(self.membership, now)
-            return reply(200, JSON, json.dumps(told).encode())
-        leader = {"leader": self.raft.leader, "quorate": self.membership.log.quorate(self.clock())}
-        if not self.fleet_monitor.answer(self.clock(), http_call, reply, leader, self.holder_report):
-            self.control.answer(self.clock(), http_call, reply)
+        if http_call.method == "GET" and path == status_report.CORE:
+            reply(HTTPStatus.OK, JSON, json.dumps(status_report.core(self.raft, now)).encode())
+            return
+        if http_call.method == "GET" and path == status_report.LEASES:
+            reply(HTTPStatus.OK, JSON, json.dumps(status_report.leases(self.membership, now)).encode())
+            return
+        leader = {"leader": self.raft.leader, "quorate": self.membership.log.quorate(now)}
+        if not self.fleet_monitor.answer(now, http_call, reply, leader, self.owner_report):
+            self.control.answer(now, http_call, reply)
 
     def tick(self, now: float) -> None:
         """Pass the time to all state machines."""
         self.handle_consensus(consensus_events.Tick())
         self.publish_core(now)
         self.control.proceed(now)
-        self.handle_membership(self.membership, membership_events.Tick())
+        self.handle_membership(membership_events.Tick())
         raft = self.raft
         self.publish_leadership(now)
         if raft.leader_role is not None:
-            self.handle_quota(self.shard_assigner, quota_events.Tick())
+            self.handle_shard_assigner(quota_events.Tick())
             if raft.has_leader_lease(now):
                 self.publish_ingresses(now)
-        self.fleet_monitor.tick(
-            now, self.membership.log.quorate(now), lambda: dict(self.holder.windows.values())
-        )
-        self.handle_quota(self.holder, quota_events.SetLeader(raft.leader))
-        self.handle_quota(self.holder, quota_events.Tick())
-        self.holder_report.tick(now)
+        self.fleet_monitor.tick(now, self.membership.log.quorate(now), self.windows_in_force)
+        self.handle_shard_owner(quota_events.SetLeader(raft.leader))
+        self.handle_shard_owner(quota_events.Tick())
+        self.owner_report.tick(now)
+
+    def windows_in_force(self) -> dict[str, Window]:
+        """The rate limit windows that the shard owner goes by, by the tenant's label."""
+        return dict(self.shard_owner.windows.values())
 
     def publish_leadership(self, now: float) -> None:
-        """Tell the shard assigner whether this process leads, and which controllers are live."""
+        """Inform the shard assigner whether this process leads, and which controllers are live."""
         raft = self.raft
-        leader_role = self.raft.leader_role
-        term, since = (raft.term, raft.leaderless_since) if leader_role is not None else (0, None)
-        self.handle_quota(
-            self.shard_assigner, quota_events.LeadershipChange(term, raft.has_leader_lease(now), since)
-        )
+        leader_role = raft.leader_role
+        term = raft.term if leader_role is not None else 0
+        since = raft.leaderless_since if leader_role is not None else None
+        change = quota_events.LeadershipChange(term, raft.has_leader_lease(now), since)
+        self.handle_shard_assigner(change)
         if leader_role is not None:
-            live = [p.address for p in leader_role.peers.values() if now - p.last_heard_at < PEER_ALIVE_S]
-            members = [m.address for m in raft.members]
-            self.handle_quota(self.shard_assigner, quota_events.LiveControllers((self.me, *live), members))
+            peers = leader_role.peers.values()
+            live = [peer.address for peer in peers if now - peer.last_heard_at < PEER_ALIVE_S]
+            members = [member.address for member in raft.members]
+            self.handle_shard_assigner(quota_events.LiveControllers((self.me, *live), members))
 
     def publish_ingresses(self, now: float) -> None:
         """Publish the list of proxies when it changes, and in each term; at most every 0.5 s."""
-        term = self.raft.term
-        ingresses = self.membership.log.ingresses(now)
-        if (
-            not ingresses
-            or (term, ingresses) == self.ingresses
-            or now < self.ingresses_at + PUBLISH_INTERVAL_S
-        ):
+        found = PublishedIngresses(self.raft.term, self.membership.log.ingresses(now))
+        is_due = now >= self.ingresses_published_at + PUBLISH_INTERVAL_S
+        if not found.ingresses or found == self.published_ingresses or not is_due:
             return
-        self.ingresses = (term, ingresses)
-        self.ingresses_at = now
-        self.told = self.told + 1
-        data = membership_codec.encode_ingresses(ingresses)
-        self.handle_membership(
-            self.membership,
-            membership_events.Publish(ValueKind.INGRESSES, FencingToken(term, self.told), data),
-        )
+        self.published_ingresses = found
+        self.ingresses_published_at = now
+        self.ingresses_number += 1
+        fencing_token = FencingToken(found.term, self.ingresses_number)
+        data = membership_codec.encode_ingresses(found.ingresses)
+        self.handle_membership(membership_events.Publish(ValueKind.INGRESSES, fencing_token, data))
 
     def publish_core(self, now: float) -> None:
         """Publish the core's members and the leader to the other planes when they change."""
         raft = self.raft
-        known = raft.committed_entry
+        committed = raft.committed_entry
         until = raft.quorum_contact_until()
         quorate = now < until
-        self.handle_membership(self.membership, membership_events.SetQuorumContact(until))
-        members = tuple(m.address for m in (raft.members if known is None else known.members))
-        told = (members, None if known is None else known.position, raft.leader, quorate)
-        if told == self.published_core or not members:
+        self.handle_membership(membership_events.SetQuorumContact(until))
+        voters = raft.members if committed is None else committed.members
+        members = tuple(member.address for member in voters)
+        position = None if committed is None else committed.position
+        core = PublishedCore(members, position, raft.leader, quorate)
+        if core == self.published_core or not members:
             return
-        self.published_core = told  # right after a start from disk: heartbeats need no election
-        self.handle_membership(self.membership, membership_events.SetCore(members))
-        if known is not None and raft.leader_role is not None and quorate:
+        self.published_core = core  # right after a start from disk: heartbeats need no election
+        self.handle_membership(membership_events.SetCore(members))
+        if committed is not None and raft.leader_role is not None and quorate:
             data = membership_codec.encode_members(members, self.me)
-            self.handle_membership(
-                self.membership,
-                membership_events.Publish(ValueKind.CORE, FencingToken(*known.position), data),
-            )
-        log.info("core %s, leader %s, quorate %s", members, raft.leader, quorate)
+            fencing_token = FencingToken(committed.position.term, committed.position.log_index)
+            self.handle_membership(membership_events.Publish(ValueKind.CORE, fencing_token, data))
+        log.info("core members %s, leader %s, quorate %s", members, raft.leader, quorate)
--- a/gateway/programs/drift_monitor.py
+++ b/gateway/programs/drift_monitor.py
@@ -4,17 +4,20 @@
 
 import json
 import logging
-from typing import Any, Protocol
+from typing import Any, Protocol, assert_never
 
 from gateway.config.digest import ExpectedDigests
 from gateway.config.document import Document
 from gateway.config.routing import CompiledConfig, RouteDecision
 from gateway.config.schema import Difference
-from gateway.drift import messages as drift_messages
-from gateway.drift.detector import CORE_NOT_HEARD, SAMPLE, DriftDetector
+from gateway.drift import events as drift_events
+from gateway.drift import outputs as drift_outputs
+from gateway.drift.detector import CORE_NOT_HEARD, DriftDetector
+from gateway.drift.events import Check
 from gateway.drift.live_check import CheckResult, LiveCheck, running_digest
 from gateway.drift.metrics import CONTENT_TYPE, Metric, render_metrics
 from gateway.membership.log_follower import ConfirmedConfig
+from gateway.membership.outputs import ConfigAdvertised
 from gateway.programs.fleet_monitor import JSON, METRICS, STATUS
 from gateway.programs.quota_report import QUOTA_METRIC_PREFIX, QuotaReport
 from gateway.runtime.http_listener import HttpCall, Reply
@@ -39,16 +42,16 @@
     def confirmed_config(self, now: float) -> ConfirmedConfig | None:
         """The newest version by a majority of the core, and when that was confirmed; or None."""
 
-    def fetch(self, version: int, holder: str, again: bool) -> None:
-        """Fetch a version from `holder` (empty: the core); `again`: even if it is held already."""
+    def fetch(self, version: int, source: Address, again: bool) -> None:
+        """Fetch a version from `source` (empty: the core); `again`: even if it is there already."""
 
     def rebuild(self, version: int, value: bytes) -> None:
         """Rebuild the compiled configuration from the value of a version, reusing nothing."""
 
-    def holds(self, version: int, digest: int, findings: int, finding: str) -> None:
+    def report_running_config(self, version: int, digest: int, findings: int, finding: str) -> None:
         """Report to the core and the neighbours what runs here."""
 
-    def in_force(self, document: Document) -> list[Difference]:
+    def limit_differences(self, document: Document) -> list[Difference]:
         """Where the quotas and limits in force differ from the document."""
 
 
@@ -66,43 +69,44 @@
         self.live: LiveCheck | None = None
         self.value = b""
         self.ready = True
-        self.refusing = ""
+        self.refusal_reason = ""  # why requests are rejected; empty if they aren't
         self.refetching = False  # the held version is being fetched again
-        self.turned_back = 0
-        self.look_at = 0.0
-        self.quotas_at = 0.0
+        self.rejected_requests = 0
+        self.next_check_at = 0.0
+        self.next_quota_check_at = 0.0
 
     # Events of the proxy.
 
     def request(
         self, host: bytes, path: bytes, key: bytes, route_decision: RouteDecision
     ) -> RouteDecision | None:
-        """Check the decision on a live request: returns it, or the decision after a repair; None: reject the
-        request."""
+        """Check the decision on a live request.
+
+        Returns:
+            The decision, or the one after a repair; None: reject the request.
+        """
         if self.live is None:
             return route_decision
-        if self.refusing:
-            self.turned_back += 1
+        if self.refusal_reason:
+            self.rejected_requests += 1
             return None
         try:
-            seen = self.live.check(self.node.clock(), host, path, key, route_decision)
+            result = self.live.check(self.node.clock(), host, path, key, route_decision)
         except Exception as error:  # caused by corrupt state: it must not break the request
-            told = f"{type(error).__name__}: {error}"
-            seen = CheckResult(SAMPLE, [Difference("a look", told, "possible")])
-        if not seen.differences:
+            reason = f"{type(error).__name__}: {error}"
+            result = CheckResult(Check.SAMPLE, [Difference("a look", reason, "possible")])
+        if not result.differences:
             return route_decision
-        self.handle_drift(drift_messages.DifferencesFound(seen.how, tuple(seen.differences)))
-        if seen.how != "request" or self.node.compiled_config is None:
-            return (
-                route_decision
-                if self.node.compiled_config is None
-                else self.node.compiled_config.resolve_request(host, path, key)
-            )
-        route_decision = self.node.compiled_config.resolve_request(host, path, key)
-        if self.live.check(self.node.clock(), host, path, key, route_decision).differences:
-            self.turned_back += 1
+        self._handle(drift_events.DifferencesFound(result.check, tuple(result.differences)))
+        if self.node.compiled_config is None:
+            return route_decision
+        repaired = self.node.compiled_config.resolve_request(host, path, key)
+        if result.check is not Check.REQUEST:
+            return repaired
+        if self.live.check(self.node.clock(), host, path, key, repaired).differences:
+            self.rejected_requests += 1
             return None
-        return route_decision
+        return repaired
 
     def config_applied(
         self,
@@ -118,68 +122,78 @@
         self.refetching = False
         self.live = LiveCheck(document, expected, compiled_config, self.live)
         running = running_digest(compiled_config, expected)
-        self.node.holds(version, running, self.drift_detector.found, self.latest())
-        self.handle_drift(drift_messages.VersionApplied(version, running, acknowledged or expected.total))
+        self._report_running_config(version, running)
+        self._handle(drift_events.VersionApplied(version, running, acknowledged or expected.total))
 
-    def unreadable(self, version: int, why: str) -> None:
-        """A version was received that can't be read, and why."""
-        self.handle_drift(drift_messages.VersionUnreadable(version, why))
+    def config_unreadable(self, version: int, reason: str) -> None:
+        """A version was received that can't be read."""
+        self._handle(drift_events.VersionUnreadable(version, reason))
 
-    def heard(self, version: int, digest: bytes, holder: str) -> None:
-        """A version was advertised; `holder` is empty if its sender doesn't have it."""
-        self.handle_drift(drift_messages.VersionSeen(version, int.from_bytes(digest), holder))
+    def on_config_advertised(self, config: ConfigAdvertised) -> None:
+        """A version was advertised; its source is empty if its sender doesn't have it."""
+        digest = int.from_bytes(config.digest)
+        self._handle(drift_events.VersionSeen(config.version, digest, config.source))
 
     def tick(self) -> None:
         """Time has passed: feed the detector and run the periodic checks."""
         now = self.node.clock()
-        if now < self.look_at <= now + CHECK_INTERVAL_S and not self.drift_detector.core_not_heard:
+        is_early = now < self.next_check_at <= now + CHECK_INTERVAL_S
+        if is_early and not self.drift_detector.core_not_heard:
             return
-        self.look_at = now + CHECK_INTERVAL_S
-        if (sure := self.node.confirmed_config(now)) is not None:
-            self.handle_drift(drift_messages.NewestConfirmed(*sure))
-        self.handle_drift(drift_messages.Tick())
+        self.next_check_at = now + CHECK_INTERVAL_S
+        if (confirmed := self.node.confirmed_config(now)) is not None:
+            self._handle(drift_events.NewestConfirmed(confirmed.version, confirmed.at))
+        self._handle(drift_events.Tick())
         if self.live is None:
             return
-        found = self.live.idle(now)
-        if not found and not now < self.quotas_at <= now + QUOTA_CHECK_INTERVAL_S:
-            self.quotas_at = now + QUOTA_CHECK_INTERVAL_S
-            found = self.node.in_force(self.live.document)
-        if found:
-            self.handle_drift(drift_messages.DifferencesFound("round", tuple(found)))
+        differences = self.live.idle(now)
+        if not differences and not now < self.next_quota_check_at <= now + QUOTA_CHECK_INTERVAL_S:
+            self.next_quota_check_at = now + QUOTA_CHECK_INTERVAL_S
+            differences = self.node.limit_differences(self.live.document)
+        if differences:
+            self._handle(drift_events.DifferencesFound(Check.SCAN, tuple(differences)))
 
     # Outputs of the drift detector.
 
-    def handle_drift(self, event: Any) -> None:
-        """Pass an input to the drift detector and carry out its outputs."""
-        found = self.drift_detector.found
-        for out in self.drift_detector.handle(self.node.clock(), event):
-            if isinstance(out, drift_messages.Finding):
-                log.warning("drift: %s", out)
-            elif isinstance(out, drift_messages.Rebuild):
+    def _handle(self, event: drift_events.DetectorEvent) -> None:
+        """Pass an event to the drift detector and carry out its outputs."""
+        detector = self.drift_detector
+        findings_before = detector.finding_count
+        for output in detector.handle(self.node.clock(), event):
+            self._carry_out(output)
+        if detector.finding_count != findings_before:
+            self._report_running_config(detector.version, detector.running_digest)
+
+    def _carry_out(self, output: drift_outputs.DetectorOutput) -> None:
+        match output:
+            case drift_outputs.Finding():
+                log.warning("drift: %s", output)
+            case drift_outputs.Rebuild():
                 self.node.rebuild(self.drift_detector.version, self.value)
-            elif isinstance(out, drift_messages.FetchVersion):
-                self.refetching = self.refetching or out.again
-                self.node.fetch(*out)
-            elif isinstance(out, drift_messages.ReadinessChanged):
-                self.ready = out.well
-                log.info("new clients: %s", out.well)
-            elif isinstance(out, drift_messages.RefusalChanged):
-                usual = CORE_NOT_HEARD in (out.why, self.refusing)
-                self.refusing = out.why
-                log.log(
-                    logging.INFO if usual else logging.WARNING,
-                    "drift: requests turned back: %s",
-                    out.why or "no longer",
-                )
-        if self.drift_detector.found != found:
-            i = self.drift_detector
-            self.node.holds(i.version, i.running, i.found, self.latest())
+            case drift_outputs.FetchVersion(version, source, again):
+                self.refetching = self.refetching or again
+                self.node.fetch(version, source, again)
+            case drift_outputs.ReadinessChanged(ready):
+                self.ready = ready
+                log.info("ready for new clients: %s", ready)
+            case drift_outputs.RefusalChanged(_, reason):
+                self._set_refusal_reason(reason)
+            case _:
+                assert_never(output)
+
+    def _set_refusal_reason(self, reason: str) -> None:
+        is_usual = CORE_NOT_HEARD in (reason, self.refusal_reason)  # right after a start
+        self.refusal_reason = reason
+        level = logging.INFO if is_usual else logging.WARNING
+        log.log(level, "drift: requests rejected: %s", reason or "no longer")
+
+    def _report_running_config(self, version: int, digest: int) -> None:
+        self.node.report_running_config(version, digest, self.drift_detector.finding_count, self.latest())
 
     def latest(self) -> str:
         """The latest finding, truncated; empty if there is none."""
-        return (
-            str(self.drift_detector.findings[-1])[:MAX_FINDING_LENGTH] if self.drift_detector.findings else ""
-        )
+        findings = self.drift_detector.findings
+        return str(findings[-1])[:MAX_FINDING_LENGTH] if findings else ""
 
     # Status and metrics.
 
@@ -202,43 +216,49 @@
 
     def status(self) -> dict[str, Any]:
         """The JSON object of `GET /-/status`. Times are seconds."""
-        i = self.drift_detector
+        detector = self.drift_detector
         live = self.live
         return {
             "node": self.me,
             "role": "proxy",
-            "version": i.version,
-            "newest": max(i.newest, i.version),
-            "digest": f"{i.running:016x}",
-            "acknowledged": f"{i.acknowledged:016x}",
-            "lag-s": round(i.lag(), 3),
-            "confirmed-s": i.confirmation_age(),
+            "version": detector.version,
+            "newest": max(detector.newer_version, detector.version),
+            "digest": f"{detector.running_digest:016x}",
+            "acknowledged": f"{detector.acknowledged_digest:016x}",
+            "lag-s": round(detector.lag(), 3),
+            "confirmed-s": detector.confirmation_age(),
             "ready": self.ready,
-            "refusing": self.refusing,
-            "turned-back": self.turned_back,
+            "refusing": self.refusal_reason,
+            "turned-back": self.rejected_requests,
             "requests": live.requests if live else 0,
             "sampled": live.sampled if live else 0,
-            "found": i.found,
-            "findings": [f._asdict() for f in i.findings],
+            "found": detector.finding_count,
+            "findings": [f._asdict() for f in detector.findings],
         }
 
     def metrics(self) -> list[Metric]:
         """The metrics of `GET /-/metrics`."""
-        i = self.drift_detector
+        detector = self.drift_detector
         live = self.live
         return [
-            Metric("version", "Version in force.", i.version),
-            Metric("newest_version", "Newest version that is known of.", max(i.newest, i.version)),
-            Metric("lag_seconds", "Time since when a newer version is known of.", i.lag()),
+            Metric("version", "Version in force.", detector.version),
+            Metric(
+                "newest_version",
+                "Newest version that is known of.",
+                max(detector.newer_version, detector.version),
+            ),
+            Metric("lag_seconds", "Time since when a newer version is known of.", detector.lag()),
             Metric(
                 "confirmed_seconds",
                 "Age of the last contact with the core that the version is the newest.",
-                i.confirmation_age(),
+                detector.confirmation_age(),
             ),
             Metric("ready", "Whether new clients may come, as far as the configuration goes.", self.ready),
-            Metric("refusing", "Whether requests are turned back for a newer version.", bool(self.refusing)),
-            Metric("turned_back_total", "Requests turned back so.", self.turned_back),
+            Metric(
+                "refusing", "Whether requests are turned back for a newer version.", bool(self.refusal_reason)
+            ),
+            Metric("turned_back_total", "Requests turned back so.", self.rejected_requests),
             Metric("requests_total", "Requests looked at.", live.requests if live else 0),
             Metric("sampled_total", "Requests also decided by a plain reading.", live.sampled if live else 0),
-            Metric("findings_total", "Findings.", i.found),
+            Metric("findings_total", "Findings.", detector.finding_count),
         ]
--- a/gateway/programs/fleet_monitor.py
+++ b/gateway/programs/fleet_monitor.py
@@ -4,15 +4,17 @@
 
 import json
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any
 
 from gateway.config.document import Document
-from gateway.drift import messages as drift_messages
+from gateway.drift import events as drift_events
 from gateway.drift.detector import DriftDetector
 from gateway.drift.fleet_status import FleetStatus
 from gateway.drift.metrics import CONTENT_TYPE, Metric, render_metrics
+from gateway.drift.outputs import DetectorOutput, Finding, Rebuild
 from gateway.drift.quota_windows import Windows, expected_windows, quota_differences
+from gateway.membership.outputs import ConfigAdvertised, RunningConfig
 from gateway.programs.quota_report import QUOTA_METRIC_PREFIX, QuotaReport
 from gateway.runtime.http_listener import HttpCall, Reply
 from gateway.state_machine import Address
@@ -42,53 +44,51 @@
         self.fleet = FleetStatus(apply_s)
         self.drift_detector = DriftDetector(apply_s)
         self.quota_windows: Windows = {}
-        self.look_at = 0.0
+        self.next_check_at = 0.0
 
-    def runs(
-        self, now: float, node: Address, version: int, digest: bytes, findings: int, finding: str
-    ) -> None:
+    def on_running_config(self, now: float, config: RunningConfig) -> None:
         """A node reports which version and digest it runs, and its findings."""
-        told = drift_messages.NodeReport(node, version, int.from_bytes(digest), findings, finding)
-        self.handle_outputs(self.fleet.handle(now, told))
-
-    def heard(self, now: float, version: int, digest: bytes, holder: Address) -> None:
-        """A version was advertised by `holder`."""
-        self.handle_outputs(
-            self.drift_detector.handle(
-                now, drift_messages.VersionSeen(version, int.from_bytes(digest), holder)
-            )
-        )
+        digest = int.from_bytes(config.digest)
+        report = drift_events.NodeReport(config.node, config.version, digest, config.findings, config.finding)
+        self._carry_out(self.fleet.handle(now, report))
+
+    def on_config_advertised(self, now: float, config: ConfigAdvertised) -> None:
+        """A version was advertised by a node."""
+        digest = int.from_bytes(config.digest)
+        self._handle_drift(now, drift_events.VersionSeen(config.version, digest, config.source))
 
     def config_applied(self, now: float, version: int, digest: int, document: Document) -> None:
         """A version was acknowledged and applied here."""
         self.quota_windows = expected_windows(document, self.span_s)
-        self.handle_outputs(self.fleet.handle(now, drift_messages.VersionAcknowledged(version, digest)))
-        self.handle_outputs(
-            self.drift_detector.handle(now, drift_messages.VersionApplied(version, digest, digest))
-        )
+        self._carry_out(self.fleet.handle(now, drift_events.VersionAcknowledged(version, digest)))
+        self._handle_drift(now, drift_events.VersionApplied(version, digest, digest))
 
     def tick(self, now: float, quorate: bool, windows: Callable[[], Windows]) -> None:
         """Time has passed. `windows` returns the rate limit windows in force here."""
-        if now < self.look_at:
+        if now < self.next_check_at:
             return
-        self.look_at = now + CHECK_INTERVAL_S
-        self.handle_outputs(self.fleet.handle(now, drift_messages.Tick()))
+        self.next_check_at = now + CHECK_INTERVAL_S
+        self._carry_out(self.fleet.handle(now, drift_events.Tick()))
         if not self.drift_detector.version:
             return
         if quorate and not self.drift_detector.lag():
-            self.drift_detector.handle(now, drift_messages.NewestConfirmed(self.drift_detector.version, now))
-        self.handle_outputs(self.drift_detector.handle(now, drift_messages.Tick()))
-        if found := quota_differences(self.quota_windows, windows()):
-            self.handle_outputs(
-                self.drift_detector.handle(now, drift_messages.DifferencesFound("round", tuple(found)))
-            )
-
-    def handle_outputs(self, outputs: list[Any]) -> None:
-        """Carry out outputs: log findings, repair the quotas."""
-        for out in outputs:
-            if isinstance(out, drift_messages.Finding):
-                log.warning("drift: %s", out)
-            elif isinstance(out, drift_messages.Rebuild):
+            confirmed = drift_events.NewestConfirmed(self.drift_detector.version, now)
+            self.drift_detector.handle(now, confirmed)
+        self._handle_drift(now, drift_events.Tick())
+        if differences := quota_differences(self.quota_windows, windows()):
+            found = drift_events.DifferencesFound(drift_events.Check.SCAN, tuple(differences))
+            self._handle_drift(now, found)
+
+    def _handle_drift(self, now: float, event: drift_events.DetectorEvent) -> None:
+        """Pass an event to the drift detector and carry out its outputs."""
+        self._carry_out(self.drift_detector.handle(now, event))
+
+    def _carry_out(self, outputs: Sequence[DetectorOutput]) -> None:
+        """Carry out outputs: log findings, repair the quotas. Nothing else of them concerns a controller."""
+        for output in outputs:
+            if isinstance(output, Finding):
+                log.warning("drift: %s", output)
+            elif isinstance(output, Rebuild):
                 self.push_allowances()
 
     # Status and metrics.
@@ -96,8 +96,10 @@
     def answer(
         self, now: float, http_call: HttpCall, reply: Reply, more: dict[str, Any], quota_report: QuotaReport
     ) -> bool:
-        """Answer a call for status or metrics; False if it is another call. `more` is added to the status,
-        `quota_report` to both."""
+        """Answer a call for status or metrics; False if it is another call.
+
+        `more` is added to the status, `quota_report` to both.
+        """
         path = http_call.path.partition("?")[0]
         if http_call.method != "GET" or path not in (STATUS, METRICS):
             return False
@@ -115,7 +117,7 @@
     def status(self, now: float) -> dict[str, Any]:
         """The JSON object of `GET /-/status`: all known nodes, and findings reported or made here."""
         port = self.me.rpartition(":")[2]
-        i = self.drift_detector
+        detector = self.drift_detector
         nodes = [
             {
                 "node": n.node,
@@ -127,22 +129,22 @@
                 "found": n.findings,
                 "finding": n.finding,
             }
-            for n in self.fleet.seen(now)[:MAX_NODES_SHOWN]
+            for n in self.fleet.rows(now)[:MAX_NODES_SHOWN]
         ]
         return {
             "node": self.me,
             "role": "controller",
-            "version": i.version,
-            "digest": f"{i.running:016x}",
+            "version": detector.version,
+            "digest": f"{detector.running_digest:016x}",
             "spread-s": round(self.fleet.spread_s, 3),
-            "found": i.found + self.fleet.found,
-            "findings": [*map(str, i.findings), *self.fleet.findings],
+            "found": detector.finding_count + self.fleet.finding_count,
+            "findings": [*map(str, detector.findings), *self.fleet.findings],
             "nodes": nodes,
         }
 
     def metrics(self, now: float) -> list[Metric]:
         """The metrics of `GET /-/metrics`."""
-        nodes = self.fleet.seen(now)
+        nodes = self.fleet.rows(now)
         return [
             Metric("version", "Version acknowledged, as known here.", self.drift_detector.version),
             Metric("nodes", "Nodes that have told what they run.", len(nodes)),
@@ -169,6 +171,6 @@
             Metric(
                 "findings_total",
                 "Findings made here and told by nodes.",
-                self.drift_detector.found + self.fleet.found,
+                self.drift_detector.finding_count + self.fleet.finding_count,
             ),
         ]
--- a/gateway/programs/proxy.py
+++ b/gateway/programs/proxy.py
@@ -5,15 +5,16 @@
 import asyncio
 import os
 import random
-from typing import Any
+
+from google.protobuf.message import Message
 
 from gateway.membership import events as membership_events
-from gateway.membership.membership_pb2 import Message as MembershipNote
+from gateway.membership.membership_pb2 import Message as MembershipMessage
 from gateway.programs import startup
 from gateway.programs.proxy_node import CONNECT_TIMEOUT_S, ProxyNode
 from gateway.programs.settings_reload import Reload, start_maintenance
 from gateway.programs.startup import MEMBERSHIP, QUOTA
-from gateway.quota.quota_pb2 import Message as QuotaNote
+from gateway.quota.quota_pb2 import Message as QuotaMessage
 from gateway.runtime.clock import steady
 from gateway.runtime.http_listener import HttpCall, HttpListener, Reply
 from gateway.runtime.log_ring import LogRing
@@ -47,13 +48,16 @@
             self.proxy_node.me,
             {
                 MEMBERSHIP: Plane(
-                    MEMBERSHIP, MembershipNote, self.proxy_node.on_membership_message, startup.membership_slot
+                    MEMBERSHIP,
+                    MembershipMessage,
+                    self.proxy_node.on_membership_message,
+                    startup.membership_slot,
                 ),
-                QUOTA: Plane(QUOTA, QuotaNote, self.proxy_node.on_quota_message),
+                QUOTA: Plane(QUOTA, QuotaMessage, self.proxy_node.on_quota_message),
             },
         )
 
-    def send(self, to: Address, plane: int, message: Any) -> None:
+    def send(self, to: Address, plane: int, message: Message) -> None:
         """Send a message of a plane to another process, or drop it."""
         self.port.send(to, plane, message)
 
@@ -67,7 +71,7 @@
 
     def ready(self, http_call: HttpCall, reply: Reply) -> None:
         """Answer readiness probes, and calls for status and metrics."""
-        if not self.proxy_node.drift_monitor.answer(http_call, reply, self.proxy_node.charger_report):
+        if not self.proxy_node.drift_monitor.answer(http_call, reply, self.proxy_node.client_report):
             reply(200 if self.proxy_node.ready() else 503, b"", b"")
 
 
@@ -76,7 +80,7 @@
     loop = asyncio.get_running_loop()
     proxy = ProxyServer(loop, settings, random.Random(int.from_bytes(os.urandom(8))))
     await proxy.port.open()
-    reload = Reload(settings, file, proxy.proxy_node.seeds)
+    reload = Reload(settings, file, proxy.proxy_node.set_seeds)
     stop = startup.stop_on_signal(loop, reload.read)
     second = start_maintenance(loop, reload, ring)
     ticker = Ticker(
@@ -93,7 +97,7 @@
     await proxy.server.leave()
     await proxy.proxy_node.leave_quota()
     ticker.stop()
-    proxy.proxy_node.charger_report.tell(steady())
+    proxy.proxy_node.client_report.report(steady())
     second.stop()
     http_listener.close()
     proxy.upstream.close()
--- a/gateway/programs/proxy_node.py
+++ b/gateway/programs/proxy_node.py
@@ -6,11 +6,14 @@
 import logging
 import random
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol, assert_never
 
+from google.protobuf.message import Message
+
+from gateway.config.changes import ConfigState
 from gateway.config.digest import ExpectedDigests
 from gateway.config.document import Document
-from gateway.config.orders import ConfigState
+from gateway.config.errors import MalformedStateError
 from gateway.config.routing import CompiledConfig
 from gateway.config.schema import Difference
 from gateway.drift.quota_windows import Windows, expected_windows, quota_differences
@@ -18,11 +21,12 @@
 from gateway.membership import outputs as membership_outputs
 from gateway.membership.codec import decode_ingresses
 from gateway.membership.log_follower import ConfirmedConfig
+from gateway.membership.membership_pb2 import Message as MembershipMessage
 from gateway.membership.proxy import ProxyMembership
 from gateway.membership.types import Backend, ValueKind
 from gateway.programs import startup
 from gateway.programs.drift_monitor import DriftMonitor
-from gateway.programs.quota_report import ChargerReport
+from gateway.programs.quota_report import ClientReport
 from gateway.programs.startup import MEMBERSHIP, QUOTA
 from gateway.proxy import service as services
 from gateway.proxy.decisions import Decisions
@@ -30,6 +34,7 @@
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.quota import events as quota_events
 from gateway.quota.quota_client import QuotaClient
+from gateway.quota.quota_pb2 import Message as QuotaMessage
 from gateway.runtime import config_events
 from gateway.runtime.settings import Settings
 from gateway.state_machine import Address, Send
@@ -39,8 +44,8 @@
 from ingress.net.upstream import Upstream
 
 CONNECT_TIMEOUT_S = 0.3  # until a connection to a backend is established
-LEAVE_POLL_S = 0.02  # between two looks whether the shard owners know that the quota client leaves
-INGRESSES = 12  # assumed number of proxies, until the leader publishes it
+LEAVE_POLL_S = 0.02  # between two checks whether the shard owners know that the quota client leaves
+ASSUMED_INGRESSES = 12  # until the leader publishes their number
 
 log = logging.getLogger("gateway.proxy")
 
@@ -48,7 +53,7 @@
 class Driver(Protocol):
     """Carries out the outputs of the state machines."""
 
-    def send(self, to: Address, plane: int, message: Any) -> None:
+    def send(self, to: Address, plane: int, message: Message) -> None:
         """Send a message of a plane to another process, or drop it."""
 
     def limit(self, limits: Limits) -> None:
@@ -82,7 +87,7 @@
         self.zone = startup.zone_number(settings)
         self.membership = ProxyMembership(self.me, self.zone, seeds, rng)
         self.quota_client = QuotaClient(bounds.quota_window_s, rng)
-        terms = services.settings(INGRESSES, CONNECT_TIMEOUT_S, settings.own.zone)
+        terms = services.settings(ASSUMED_INGRESSES, CONNECT_TIMEOUT_S, settings.own.zone)
 
         def budget(ingresses: int) -> RetryBudget:
             return RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s, ingresses)
@@ -95,31 +100,31 @@
         self.version = 0
         self.quota_windows: Windows = {}
         self.drift_monitor = DriftMonitor(self.me, self, bounds)
-        self.charger_report = ChargerReport(self.me, self.quota_client)
+        self.client_report = ClientReport(self.me, self.quota_client)
         self.ingress.inspect = self.drift_monitor.request
         self.leaving = False
-        self.charge_timer: asyncio.TimerHandle | None = None
-        self.charge_at = 0.0
+        self.quota_timer: asyncio.TimerHandle | None = None
+        self.quota_timer_at = 0.0
 
     # Messages of other processes.
 
-    def on_membership_message(self, sender: Address, note: Any) -> None:
+    def on_membership_message(self, sender: Address, message: MembershipMessage) -> None:
         """A message of the membership plane has arrived."""
-        self.handle_membership(membership_events.Received(sender, note))
+        self.handle_membership(membership_events.Received(sender, message))
 
-    def on_quota_message(self, sender: Address, note: Any) -> None:
+    def on_quota_message(self, sender: Address, message: QuotaMessage) -> None:
         """A message of the quota plane has arrived."""
-        self.handle_quota(quota_events.Received(sender, note))
+        self.handle_quota(quota_events.Received(sender, message))
 
-    def send_quota_message(self, out: Send) -> None:
+    def send_quota_message(self, send: Send) -> None:
         """Send an output of the quota client."""
-        self.driver.send(out.to, QUOTA, out.message)
-        self.arm()
+        self.driver.send(send.to, QUOTA, send.message)
+        self.arm_quota_timer()
 
-    def handle_quota(self, event: Any) -> None:
-        """Pass an input to the quota client, by way of the ingress."""
+    def handle_quota(self, event: quota_events.ClientEvent) -> None:
+        """Pass an event to the quota client, by way of the ingress."""
         self.ingress.handle_quota(event)
-        self.arm()
+        self.arm_quota_timer()
 
     async def leave_quota(self) -> None:
         """All requests are done: return the quota shares, until the owners know or were told often enough."""
@@ -127,73 +132,86 @@
         while not self.quota_client.has_left:
             await asyncio.sleep(LEAVE_POLL_S)
 
-    def arm(self) -> None:
+    def arm_quota_timer(self) -> None:
         """Set the timer for the next time that the quota client is due."""
         due = self.quota_client.due()
-        if self.charge_timer is not None:
-            if self.charge_at <= due:
+        if self.quota_timer is not None:
+            if self.quota_timer_at <= due:
                 return
-            self.charge_timer.cancel()
-        self.charge_at = due  # kept here: uvloop returns a plain handle for a timer that is due at once
-        self.charge_timer = self.loop.call_at(due, self.charge_due)
+            self.quota_timer.cancel()
+        self.quota_timer_at = due  # kept here: uvloop returns a plain handle for a timer that is due at once
+        self.quota_timer = self.loop.call_at(due, self.on_quota_timer)
 
-    def charge_due(self) -> None:
+    def on_quota_timer(self) -> None:
         """The timer of the quota client has fired."""
-        self.charge_timer = None
+        self.quota_timer = None
         self.handle_quota(quota_events.Tick())
 
-    def handle_membership(self, event: Any) -> None:
-        """Pass an input to the membership plane and carry out its outputs."""
-        for out in self.membership.handle(self.clock(), event):
-            if isinstance(out, Send):
-                self.driver.send(out.to, MEMBERSHIP, out.message)
-            elif isinstance(out, membership_outputs.BackendAdded | membership_outputs.BackendChanged):
-                self.backend(out.backend)
-            elif isinstance(out, membership_outputs.BackendRemoved):
-                self.ingress.backend(out.id, "", ("", 0), io.Phase.DELETED, 0.0)
-            elif isinstance(out, membership_outputs.ValueUpdated):
-                self.news(out)
-            elif isinstance(out, membership_outputs.ConfigAdvertised):
-                self.drift_monitor.heard(*out)
+    def handle_membership(self, event: membership_events.ProxyEvent) -> None:
+        """Pass an event to the membership plane and carry out its outputs."""
+        for output in self.membership.handle(self.clock(), event):
+            match output:
+                case Send(to, message):
+                    self.driver.send(to, MEMBERSHIP, message)
+                case membership_outputs.BackendAdded(backend) | membership_outputs.BackendChanged(backend):
+                    self.on_backend(backend)
+                case membership_outputs.BackendRemoved(backend_id):
+                    self.ingress.backend(backend_id, "", ("", 0), io.Phase.DELETED, 0.0)
+                case membership_outputs.ValueUpdated():
+                    self.on_value(output)
+                case membership_outputs.ConfigAdvertised():
+                    self.drift_monitor.on_config_advertised(output)
+                case membership_outputs.CoreMembers():  # the membership plane follows them itself
+                    pass
+                case _:
+                    assert_never(output)
         if isinstance(event, membership_events.Tick):
             self.drift_monitor.tick()
-            self.charger_report.tick(self.clock())
+            self.client_report.tick(self.clock())
 
-    def backend(self, b: Backend) -> None:
+    def on_backend(self, backend: Backend) -> None:
         """A backend was added or has changed."""
         try:
-            address = read_address(b.address)
+            address = read_address(backend.address)
         except ValueError:
-            log.warning("backend %s: no address: %r", b.id, b.address)
+            log.warning("backend %s: no address: %r", backend.id, backend.address)
             return
-        phase = io.Phase.STOPPING if b.draining else io.Phase.RUNNING
+        phase = io.Phase.STOPPING if backend.draining else io.Phase.RUNNING
+        slow_start_left_s = max(0.0, backend.slow_start_until - self.clock())
         self.ingress.backend(
-            b.id, b.service, address, phase, max(0.0, b.slow_start_until - self.clock()), b.capacity, b.zone
+            backend.id,
+            backend.service,
+            address,
+            phase,
+            slow_start_left_s,
+            backend.capacity,
+            backend.zone,
         )
 
-    def seeds(self, addresses: tuple[Address, ...]) -> None:
+    def set_seeds(self, addresses: tuple[Address, ...]) -> None:
         """The settings have other seeds."""
         self.handle_membership(membership_events.SetSeeds(addresses))
 
-    def news(self, news: membership_outputs.ValueUpdated) -> None:
+    def on_value(self, value: membership_outputs.ValueUpdated) -> None:
         """A published value: the list of proxies, the shard map, or a configuration."""
-        if news.kind == ValueKind.INGRESSES:
-            self.ingress.proxy_peers(self.me, self.zone, decode_ingresses(news.data))
-        elif news.kind == ValueKind.SHARD_MAP:
-            self.handle_quota(quota_events.ShardMapReceived(news.data))
-        elif news.kind == ValueKind.CONFIG:
-            version = news.fencing_token[1]
+        if value.kind == ValueKind.INGRESSES:
+            self.ingress.proxy_peers(self.me, self.zone, decode_ingresses(value.data))
+        elif value.kind == ValueKind.SHARD_MAP:
+            self.handle_quota(quota_events.ShardMapReceived(value.data))
+        elif value.kind == ValueKind.CONFIG:
+            version = value.fencing_token.number
             again = self.drift_monitor.refetching
             if version > self.version or (again and version == self.version):
-                self.apply_config(version, news.data, int.from_bytes(news.digest), afresh=again)
+                self.apply_config(version, value.data, int.from_bytes(value.digest), afresh=again)
 
     def apply_config(self, version: int, value: bytes, acknowledged: int, afresh: bool = False) -> None:
         """Apply a newer version of the configuration, or rebuild the same one: `afresh` reuses nothing."""
         try:
             config_state = ConfigState.decode(value, None if afresh else self.config_state)
-        except ValueError as error:
-            log.error("version %d can't be read: %s", version, error)
-            return self.drift_monitor.unreadable(version, str(error))
+        except MalformedStateError as error:
+            log.error("configuration version %d can't be read: %s", version, error)
+            self.drift_monitor.config_unreadable(version, str(error))
+            return
         if config_state.document is None:
             return
         before = self.version
@@ -211,7 +229,7 @@
         )
         self.ingress.compiled_config = compiled_config
         if version > before:
-            config_events.in_force(self.me, version, compiled_config.generation, first=not before)
+            config_events.config_in_force(self.me, version, compiled_config.generation, first=not before)
         self.quota_windows = expected_windows(config_state.document, self.quota_client.span_s)
         self.drift_monitor.config_applied(
             version, value, acknowledged, config_state.document, self.expected, compiled_config
@@ -223,27 +241,27 @@
         """The newest version by a majority of the core, and when that was confirmed; or None."""
         return self.membership.confirmed_config(now)
 
-    def fetch(self, version: int, holder: Address, again: bool) -> None:
-        """Fetch a version of the configuration from `holder` (empty: the core)."""
-        self.handle_membership(membership_events.FetchConfig(version, holder, again))
+    def fetch(self, version: int, source: Address, again: bool) -> None:
+        """Fetch a version of the configuration from `source` (empty: the core)."""
+        self.handle_membership(membership_events.FetchConfig(version, source, again))
 
     def rebuild(self, version: int, value: bytes) -> None:
         """Rebuild the compiled configuration from the value of a version."""
-        self.apply_config(version, value, self.drift_monitor.drift_detector.acknowledged, afresh=True)
+        self.apply_config(version, value, self.drift_monitor.drift_detector.acknowledged_digest, afresh=True)
 
-    def holds(self, version: int, digest: int, findings: int, finding: str) -> None:
+    def report_running_config(self, version: int, digest: int, findings: int, finding: str) -> None:
         """Report the version and digest that run here, and the findings."""
         self.handle_membership(
             membership_events.ConfigApplied(version, digest.to_bytes(8), findings, finding)
         )
 
-    def in_force(self, document: Document) -> list[Difference]:
+    def limit_differences(self, document: Document) -> list[Difference]:
         """Where limits and rate limit windows in force differ from the document."""
         limits = document.limits
-        held_to = self.driver.limits()
+        running = self.driver.limits()
         found = [
             Difference(f"limits {name}", str(was), str(to))
-            for name, was, to in zip(limits._fields, held_to, limits, strict=False)
+            for name, was, to in zip(limits._fields, running, limits, strict=False)
             if was != to
         ]
         windows = {label: local_quota.window for label, local_quota in self.quota_client.local_quotas.items()}
@@ -251,5 +269,5 @@
 
     def ready(self) -> bool:
         """Readiness: a confirmed configuration is in force, a backend is known, and no shutdown has begun."""
-        well = self.compiled_config is not None and bool(self.ingress.serving) and self.drift_monitor.ready
-        return well and not self.leaving
+        has_config = self.compiled_config is not None and self.drift_monitor.ready
+        return has_config and bool(self.ingress.serving) and not self.leaving
--- a/gateway/programs/quota_report.py
+++ b/gateway/programs/quota_report.py
@@ -18,7 +18,7 @@
 
 QUOTA_LOGGER = "gateway.quota_report"
 QUOTA_METRIC_PREFIX = "gateway_allowance_"
-LINE_S = 5.0
+REPORT_INTERVAL_S = 5.0
 
 log = logging.getLogger(QUOTA_LOGGER)
 
@@ -43,11 +43,11 @@
     def tick(self, now: float) -> None:
         """Time has passed: log a record if it is due."""
         if now >= self.due:
-            self.tell(now)
+            self.report(now)
 
-    def tell(self, now: float) -> None:
+    def report(self, now: float) -> None:
         """Log a record now, if anything has changed."""
-        self.due = now + LINE_S
+        self.due = now + REPORT_INTERVAL_S
         if changes := self.changes(now):
             log.info({"node": self.me, **changes})
 
@@ -56,7 +56,7 @@
         raise NotImplementedError
 
 
-class ChargerReport(_PeriodicReport):
+class ClientReport(_PeriodicReport):
     """Report of a quota client: how requests were decided, and the time that took."""
 
     def __init__(self, me: Address, quota_client: QuotaClient) -> None:
@@ -64,7 +64,7 @@
         self.quota_client = quota_client
         self.decided: dict[tuple[str, int], list[int]] = {}  # as of the last record
         self.times = [[0] * len(counts) for counts in quota_client.statistics.times]
-        self.back = 0
+        self.refunded = 0
 
     def changes(self, now: float) -> dict[str, Any]:
         """What has changed since the last record.
@@ -80,7 +80,7 @@
                 more = [n - b for n, b in zip(counts, before or [0] * len(DECISION_LABELS), strict=True)]
                 charged.setdefault(key[0], {})[key[1]] = more
                 self.decided[key] = list(counts)
-        back, self.back = statistics.refunded - self.back, statistics.refunded
+        back, self.refunded = statistics.refunded - self.refunded, statistics.refunded
         if not charged and not back:
             return {}
         times = {}
@@ -136,26 +136,26 @@
         return found
 
 
-class HolderReport(_PeriodicReport):
+class OwnerReport(_PeriodicReport):
     """Report of a shard owner: what remains of each counter, and whether the views of all nodes agree."""
 
-    def __init__(self, me: Address, holder: ShardOwner) -> None:
+    def __init__(self, me: Address, shard_owner: ShardOwner) -> None:
         super().__init__(me)
-        self.holder = holder
-        self.told = (0, 0, 0)  # shards gained, lost, and units refunded, as of the last record
+        self.shard_owner = shard_owner
+        self.reported = (0, 0, 0)  # shards gained, lost, and units refunded, as of the last record
 
     def compared(self, now: float) -> list[CounterComparison]:
         """Each tenant counted here, with all views of its counter."""
-        return self.holder.view_audit.compare(now, self.holder.counter_states(now))
+        return self.shard_owner.view_audit.compare(now, self.shard_owner.counter_states(now))
 
     def changes(self, now: float) -> dict[str, Any]:
         """`held`: by tenant its allowance, remaining and reserved units, number of views, largest difference,
         most units by which a view is beyond what was said, and the oldest view's age in seconds. `gained`,
         `lost`: shards; `back`: units refunded."""
-        view_audit = self.holder.view_audit
+        view_audit = self.shard_owner.view_audit
         counts = view_audit.gained_shards, view_audit.lost_shards, view_audit.refunded
-        gained, lost, back = (n - b for n, b in zip(counts, self.told, strict=True))
-        self.told = counts
+        gained, lost, back = (n - b for n, b in zip(counts, self.reported, strict=True))
+        self.reported = counts
         held = {
             c.tenant: [
                 round(c.allowance, 2),
@@ -202,7 +202,7 @@
         for c in found:
             name = c.tenant.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
             labels.append((f'tenant="{name}"', c))
-        view_audit = self.holder.view_audit
+        view_audit = self.shard_owner.view_audit
         return [
             *(Metric("units", "Units that a tenant may use in a window.", c.allowance, t) for t, c in labels),
             *(Metric("remaining_units", "Units that remain in it.", c.remaining, t) for t, c in labels),
--- a/gateway/programs/startup.py
+++ b/gateway/programs/startup.py
@@ -9,12 +9,12 @@
 import signal
 import sys
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 import uvloop
 from result import Err
 
 from gateway.consensus import consensus_pb2
+from gateway.membership import membership_pb2
 from gateway.programs.quota_report import QUOTA_LOGGER
 from gateway.runtime import settings as files
 from gateway.runtime.log_ring import LogRing
@@ -31,15 +31,19 @@
 log = logging.getLogger("gateway.startup")
 
 
-def consensus_slot(note: Any) -> int | None:
+def consensus_slot(message: consensus_pb2.Message) -> int | None:
     """Slot of a queued message: an entry is the whole state, so a later one replaces it."""
-    return consensus_pb2.APPEND_ENTRIES if note.kind == consensus_pb2.APPEND_ENTRIES else None
+    return consensus_pb2.APPEND_ENTRIES if message.kind == consensus_pb2.APPEND_ENTRIES else None
 
 
-def membership_slot(note: Any) -> tuple[str, int] | None:
-    """Slot of a queued message: later answers build on confirmed positions, values are the newest."""
-    kind = note.WhichOneof("kind")
-    return (kind, note.value.kind) if kind == "value" else (kind, 0) if kind == "follow_reply" else None
+def membership_slot(message: membership_pb2.Message) -> tuple[str, int] | None:
+    """Slot of a queued message: later replies build on confirmed positions, values are the newest."""
+    match message.WhichOneof("kind"):
+        case "value":
+            return "value", message.value.kind
+        case "follow_reply":
+            return "follow_reply", 0
+    return None
 
 
 def zone_numbers(settings: Settings) -> dict[str, int]:
--- a/gateway/runtime/config_events.py
+++ b/gateway/runtime/config_events.py
@@ -1,4 +1,4 @@
-"""Log records on configuration changes: orders at the leader, and versions that come into force at a node.
+"""Log records on configuration changes: at the leader, and versions that come into force at a node.
 
 A few lines a minute, at level NOTICE, so written at once; `python -m simulation orders` reads them.
 """
@@ -10,25 +10,32 @@
 from gateway.runtime.log_ring import NOTICE
 from gateway.state_machine import Address
 
-log = logging.getLogger("gateway.config_events")
+LOGGER = "gateway.config_events"
+CHANGE_PROPOSED = "configuration change proposed"
+CHANGE_ACKNOWLEDGED = "configuration change acknowledged"
+CONFIG_IN_FORCE = "configuration in force"
 
+log = logging.getLogger(LOGGER)
 
-def order_taken(version: int, generation: int) -> None:
-    """The leader proposes an order to the consensus group; once committed it is this version."""
-    log.log(NOTICE, "order taken", extra={"version": version, "generation": generation})
 
+def change_proposed(version: int, generation: int) -> None:
+    """The leader proposes a change to the consensus group; once committed it is this version."""
+    log.log(NOTICE, CHANGE_PROPOSED, extra={"version": version, "generation": generation})
 
-def order_acknowledged(version: int, generation: int, after_s: float) -> None:
-    """The order is committed and answered, `after_s` seconds after the leader received it."""
+
+def change_acknowledged(version: int, generation: int, after_s: float) -> None:
+    """The change is committed and answered, `after_s` seconds after the leader received it."""
     log.log(
         NOTICE,
-        "order acknowledged",
+        CHANGE_ACKNOWLEDGED,
         extra={"version": version, "generation": generation, "after_s": round(after_s, 4)},
     )
 
 
-def in_force(node: Address, version: int, generation: int, first: bool) -> None:
+def config_in_force(node: Address, version: int, generation: int, first: bool) -> None:
     """A version is in force at a node; `first`: it is the first one since the process started."""
     log.log(
-        NOTICE, "in force", extra={"node": node, "version": version, "generation": generation, "first": first}
+        NOTICE,
+        CONFIG_IN_FORCE,
+        extra={"node": node, "version": version, "generation": generation, "first": first},
     )
--- a/simulation/capacity/configuration.py
+++ b/simulation/capacity/configuration.py
@@ -11,8 +11,8 @@
 from typing import Any, NamedTuple, TypeVar
 
 from gateway.config import document as documents_of
+from gateway.config.changes import ConfigState, decide, without_history
 from gateway.config.digest import ExpectedDigests
-from gateway.config.orders import ConfigState, decide, without_order_history
 from gateway.config.routing import CompiledConfig
 from gateway.drift.live_check import LiveCheck
 from gateway.drift.quota_windows import Windows, expected_windows
@@ -195,14 +195,14 @@
 def _values(shape: Shape, body: bytes) -> dict[str, bytes]:
     """The agreed values that the ingress gets one after the other."""
     config_state = _present(decide(ConfigState(), "PUT", body).config_state)
-    found = {"a whole one": without_order_history(config_state.encode())}
+    found = {"a whole one": without_history(config_state.encode())}
     for name, entry in (
         ("one route", documents.route_entry(0, shape.services, CHANGED_DEADLINE_S)),
         ("one key", documents.tenant_entry(0, random.Random(2), keys=2)),
     ):
         order = json.dumps(documents.patch(config_state.generation, entry)).encode()
         config_state = _present(decide(config_state, "PATCH", order).config_state)
-        found[name] = without_order_history(config_state.encode())
+        found[name] = without_history(config_state.encode())
     return found
 
 
--- a/simulation/model/injected_bugs.py
+++ b/simulation/model/injected_bugs.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from gateway.config.orders import ConfigState
+from gateway.config.changes import ConfigState
 from gateway.config.routing import Route
 from gateway.consensus import events as consensus_events
 from gateway.consensus.outputs import ProposalOutcome
@@ -48,8 +48,8 @@
 def _deaf_to_drain(process: ProxyProcess) -> None:
     """Takes backends that leave for ones that stay."""
     proxy_node: Any = process.proxy_node
-    backend = proxy_node.backend
-    proxy_node.backend = lambda record: backend(record._replace(draining=False))
+    on_backend = proxy_node.on_backend
+    proxy_node.on_backend = lambda record: on_backend(record._replace(draining=False))
 
 
 def _repeats(process: ProxyProcess) -> None:
@@ -171,7 +171,7 @@
 
     def at_once(token: int, value: bytes, expected: int) -> None:
         propose(token, value, expected)
-        controller_node.control.proposed(process.time(), token, ProposalOutcome.COMMITTED)
+        controller_node.control.on_proposal_outcome(process.time(), token, ProposalOutcome.COMMITTED)
 
     controller_node.propose = at_once
 
@@ -179,7 +179,7 @@
 def _credulous(process: ControllerProcess) -> None:
     """Acknowledges whatever it is told to change."""
     controller_node: Any = process.controller_node
-    controller_node.propose = lambda token, value, expected: controller_node.control.proposed(
+    controller_node.propose = lambda token, value, expected: controller_node.control.on_proposal_outcome(
         process.time(), token, ProposalOutcome.COMMITTED
     )
 
--- a/simulation/model/processes.py
+++ b/simulation/model/processes.py
@@ -195,7 +195,7 @@
         )
 
     def seeds(self, addresses: tuple[Address, ...]) -> None:
-        self.controller_node.seeds(addresses)
+        self.controller_node.set_seeds(addresses)
 
     def answer(self, http_call: HttpCall, reply: Callable[[int, bytes, bytes], None]) -> None:
         """A call to `control`."""
@@ -250,7 +250,7 @@
         self.proxy_node.handle_membership(TICK)
 
     def seeds(self, addresses: tuple[Address, ...]) -> None:
-        self.proxy_node.seeds(addresses)
+        self.proxy_node.set_seeds(addresses)
 
     def limit(self, limits: Limits) -> None:
         """A configuration is taken up, and its limits of clients."""
--- a/simulation/orders.py
+++ b/simulation/orders.py
@@ -12,9 +12,9 @@
 from statistics import median
 from typing import Any, NamedTuple
 
+from gateway.runtime.config_events import CHANGE_ACKNOWLEDGED, CONFIG_IN_FORCE, LOGGER
 from simulation.log_lines import objects
 
-LOGGER = "gateway.config_events"
 NUMBER = re.compile(r"\d+(?:\.\d+)?")
 SKEW_S = 0.5  # by which clocks of machines may differ
 
@@ -60,12 +60,12 @@
     found: dict[tuple[int, int], Order] = {}
     forces: list[LogLine] = []
     for line in lines:
-        if line.what == "in force":
+        if line.what == CONFIG_IN_FORCE:
             forces.append(line)
             continue
         key = line.entry["version"], line.entry["generation"]
         order = found.setdefault(key, Order(*key, line.at))
-        if line.what == "order acknowledged":
+        if line.what == CHANGE_ACKNOWLEDGED:
             order.ack_s = line.entry["after_s"]
             order.came = line.at - line.entry["after_s"]
     for order in found.values():
--- a/simulation/recording.py
+++ b/simulation/recording.py
@@ -20,7 +20,7 @@
 from gateway.runtime.settings import Settings
 
 MOST = 200_000  # inputs that a recording keeps; one that has dropped inputs can't be replayed, only printed
-CONTROLLER_MACHINES = ("raft", "membership", "shard_assigner", "holder")
+CONTROLLER_MACHINES = ("raft", "membership", "shard_assigner", "shard_owner")
 
 
 class RecordingHeader(NamedTuple):
--- a/tests/gateway/config/test_config.py
+++ b/tests/gateway/config/test_config.py
@@ -14,9 +14,9 @@
 from syrupy.assertion import SnapshotAssertion
 
 from gateway.config import document, schema
+from gateway.config.changes import MAX_REMEMBERED_CHANGES, ConfigState, decide, without_history
 from gateway.config.digest import DriftScanner, ExpectedDigests, digest
 from gateway.config.document import Document, Limits
-from gateway.config.orders import MAX_REMEMBERED_ORDERS, ConfigState, decide, without_order_history
 from gateway.config.reference import compare_decision, evaluate
 from gateway.config.routing import CompiledConfig, Route, RouteDecision, key_of
 
@@ -166,7 +166,7 @@
 def test_what_is_proper_passes_and_comes_back(raw: Raw) -> None:
     answer = decide(ConfigState(), "PUT", body(raw))
     assert answer.status == 200 and answer.config_state is not None, answer.body
-    assert json.loads(ConfigState.decode(answer.config_state.encode()).whole()) == raw
+    assert json.loads(ConfigState.decode(answer.config_state.encode()).document_body()) == raw
 
 
 def test_an_exchange_with_the_operator(snapshot: SnapshotAssertion) -> None:
@@ -205,7 +205,7 @@
             f"{method} {raw['generation']} on {raw['base-version']} -> "
             f"{answer.status} {answer.body.decode()}, in force {config_state.generation}"
         )
-    assert [*said, config_state.whole().decode()] == snapshot
+    assert [*said, config_state.document_body().decode()] == snapshot
 
 
 def test_a_patch_on_nothing_and_what_it_leaves() -> None:
@@ -233,17 +233,17 @@
 
 
 def test_repeats_are_known_for_long_and_the_value_stays_small() -> None:
-    orders = changes(MAX_REMEMBERED_ORDERS + 6, 3)
+    orders = changes(MAX_REMEMBERED_CHANGES + 6, 3)
     config_state = after(orders)
     config_state = ConfigState.decode(config_state.encode())
     assert [decide(config_state, "PUT", o).status for o in orders] == [503] * 6 + [
         200
-    ] * MAX_REMEMBERED_ORDERS
+    ] * MAX_REMEMBERED_CHANGES
     assert decide(config_state, "PATCH", orders[-1]).status == 412  # another order, if of the same body
     value = config_state.encode()
-    assert len(value) < 17_000 and len(without_order_history(value)) < 200
-    bare = ConfigState.decode(without_order_history(value))
-    assert bare.whole() == config_state.whole() and not bare.taken
+    assert len(value) < 17_000 and len(without_history(value)) < 200
+    bare = ConfigState.decode(without_history(value))
+    assert bare.document_body() == config_state.document_body() and not bare.accepted
     small = after(orders[:3]).encode()
     for broken in (
         b"\x03\x00",
@@ -261,13 +261,17 @@
 
 
 def test_what_may_be_forgotten_is_never_refused() -> None:
-    config_state = after(changes(MAX_REMEMBERED_ORDERS + 6, 3))
+    config_state = after(changes(MAX_REMEMBERED_CHANGES + 6, 3))
 
     def lost(generation: int, base: int) -> int:
         """What is said to an order that lost its race."""
         return decide(config_state, "PUT", body(config(generation=generation, base=base))).status
 
-    assert config_state.forgotten == 18 and [lost(18, 15), lost(17, 15), lost(19, 15)] == [503, 503, 412]
+    assert config_state.forgotten_generation == 18 and [lost(18, 15), lost(17, 15), lost(19, 15)] == [
+        503,
+        503,
+        412,
+    ]
     assert lost(15, 15) == 412  # invalid on any base, so never taken
 
 
@@ -275,18 +279,24 @@
     orders = changes(70, 2)
     for count in (3, 64, 70):
         config_state = after(orders[:count])
-        taken = [f.to_bytes(8) for f in config_state.taken][-64:]
+        taken = [f.to_bytes(8) for f in config_state.accepted][-64:]
         old = ConfigState.decode(
-            bytes((1, len(taken))) + b"".join(taken) + zlib.compress(config_state.whole(), 3)
+            bytes((1, len(taken))) + b"".join(taken) + zlib.compress(config_state.document_body(), 3)
+        )
+        assert (
+            old.document_body() == config_state.document_body()
+            and decide(old, "PUT", orders[count - 3]).status == 200
         )
-        assert old.whole() == config_state.whole() and decide(old, "PUT", orders[count - 3]).status == 200
-        assert old.forgotten >= (2 * (count - 64) if count >= 64 else 0)
+        assert old.forgotten_generation >= (2 * (count - 64) if count >= 64 else 0)
         for order in orders[:count]:
             assert decide(old, "PUT", order).status in (200, 503)
         if count < 64:
-            assert not old.forgotten
-        new = ConfigState.decode(old.with_order(config_state.document, 1).encode())  # type: ignore[arg-type]
-        assert new.forgotten == old.forgotten and list(new.taken)[-2::-1] == list(old.taken)[::-1]
+            assert not old.forgotten_generation
+        new = ConfigState.decode(old.with_change(config_state.document, 1).encode())  # type: ignore[arg-type]
+        assert (
+            new.forgotten_generation == old.forgotten_generation
+            and list(new.accepted)[-2::-1] == list(old.accepted)[::-1]
+        )
 
 
 def test_a_book_keeps_what_did_not_change() -> None:
--- a/tests/gateway/drift/drift_network.py
+++ b/tests/gateway/drift/drift_network.py
@@ -6,8 +6,8 @@
 import random
 from types import SimpleNamespace
 
+from gateway.config.changes import ConfigState, decide
 from gateway.config.digest import ExpectedDigests
-from gateway.config.orders import ConfigState, decide
 from gateway.membership import codec, events, outputs
 from gateway.membership.controller import ControllerMembership
 from gateway.membership.types import ValueKind
@@ -123,8 +123,8 @@
 
     def handle(self, now, event):
         outs = self.membership.handle(now, event)
-        for runs in [o for o in outs if isinstance(o, outputs.RunningConfig)]:
-            self.fleet_monitor.runs(now, *runs)
+        for running in [o for o in outs if isinstance(o, outputs.RunningConfig)]:
+            self.fleet_monitor.on_running_config(now, running)
         if isinstance(event, events.Tick):
             self.fleet_monitor.tick(now, True, lambda: self.fleet_monitor.quota_windows)
         return [o for o in outs if isinstance(o, Send)]
--- a/tests/gateway/drift/test_drift.py
+++ b/tests/gateway/drift/test_drift.py
@@ -6,13 +6,13 @@
 import pytest
 
 from gateway.cli import nodes
-from gateway.config.orders import ConfigState
+from gateway.config.changes import ConfigState
 from gateway.config.routing import CompiledConfig
-from gateway.drift import live_check
-from gateway.drift import messages as i
+from gateway.config.schema import Difference
+from gateway.drift import events, live_check, outputs
 from gateway.drift.detector import DriftDetector
 from gateway.drift.metrics import render_metrics
-from gateway.programs.quota_report import HolderReport
+from gateway.programs.quota_report import OwnerReport
 from gateway.quota.shard_owner import ShardOwner
 from gateway.runtime.http_listener import HttpCall
 from tests.gateway.drift.drift_network import CONTROLLER_ADDRESSES, FleetNetwork, config, route, taken
@@ -69,7 +69,7 @@
     assert (
         s.drift_monitor.ready
         and len(s.findings()) <= 2
-        and s.drift_detector.running == s.drift_detector.acknowledged
+        and s.drift_detector.running_digest == s.drift_detector.acknowledged_digest
     )
     assert all(
         nodes.merge_answers([net.nodes[p].fleet_monitor.status(net.now)], []).findings
@@ -120,11 +120,11 @@
 
 def test_what_rebuilding_does_not_cure_keeps_clients_away_and_is_told_once():
     machine = DriftDetector(2.5)
-    machine.handle(0.0, i.VersionApplied(1, 7, 7))
-    machine.handle(0.0, i.NewestConfirmed(1, 0.0))
+    machine.handle(0.0, events.VersionApplied(1, 7, 7))
+    machine.handle(0.0, events.NewestConfirmed(1, 0.0))
     outs = []
     for n in range(100):
-        found = i.DifferencesFound("request", (live_check.Difference("route r1.max-tries", "9", "2"),))
+        found = events.DifferencesFound(events.Check.REQUEST, (Difference("route r1.max-tries", "9", "2"),))
         outs += machine.handle(n * 0.1, found)
     assert [type(o).__name__ for o in outs] == [
         "Finding",
@@ -136,7 +136,7 @@
         "ReadinessChanged",
         "Finding",
     ]
-    assert not machine.ready and machine.handle(40.0, i.Tick())[0] == i.ReadinessChanged(True)
+    assert not machine.ready and machine.handle(40.0, events.Tick())[0] == outputs.ReadinessChanged(True)
 
 
 def test_drift_detector_transcript(snapshot):
@@ -147,21 +147,21 @@
     def give(now, event):
         said.extend(f"{now:5.2f} {out!r}" for out in machine.handle(now, event))
 
-    give(0.0, i.VersionApplied(5, 0xA, 0xA))
-    give(0.0, i.NewestConfirmed(5, 0.0))
-    give(0.1, i.VersionSeen(6, 0xB, "10.0.0.1:7661"))
+    give(0.0, events.VersionApplied(5, 0xA, 0xA))
+    give(0.0, events.NewestConfirmed(5, 0.0))
+    give(0.1, events.VersionSeen(6, 0xB, "10.0.0.1:7661"))
     for n in range(24):
-        give(0.2 + n / 10, i.Tick())
-    give(2.6, i.VersionUnreadable(6, "not a value of orders"))
-    give(2.7, i.VersionApplied(6, 0xB, 0xB))
-    give(2.8, i.VersionApplied(6, 0xC, 0xB))
-    give(2.9, i.VersionApplied(6, 0xC, 0xB))
-    give(3.0, i.VersionSeen(99, 0xF, "10.0.0.9:7660"))
-    give(3.4, i.Tick())
-    give(3.7, i.NewestConfirmed(6, 3.6))
+        give(0.2 + n / 10, events.Tick())
+    give(2.6, events.VersionUnreadable(6, "not a value of orders"))
+    give(2.7, events.VersionApplied(6, 0xB, 0xB))
+    give(2.8, events.VersionApplied(6, 0xC, 0xB))
+    give(2.9, events.VersionApplied(6, 0xC, 0xB))
+    give(3.0, events.VersionSeen(99, 0xF, "10.0.0.9:7660"))
+    give(3.4, events.Tick())
+    give(3.7, events.NewestConfirmed(6, 3.6))
     for n in range(6):
-        give(4.0 + n, i.Tick())
-    give(9.2, i.NewestConfirmed(6, 9.1))
+        give(4.0 + n, events.Tick())
+    give(9.2, events.NewestConfirmed(6, 9.1))
     assert "\n".join(said) == snapshot
 
 
@@ -177,9 +177,9 @@
         (taken(config(more=[route(f"m{n}") for n in range(900)])), 1 / 180),
     ):
         net, s = begun(config_state)
-        watch = s.drift_monitor.live.watch
-        looks = Mock(side_effect=watch.step)
-        monkeypatch.setattr(watch, "step", looks)
+        scanner = s.drift_monitor.live.scanner
+        looks = Mock(side_effect=scanner.step)
+        monkeypatch.setattr(scanner, "step", looks)
         read.clear()
         for _ in range(1100):
             s.ask()
@@ -197,12 +197,12 @@
     net.run(1)
     answers = []
     ask = [HttpCall("GET", path, b"") for path in ("/-/status", "/-/readiness", "/-/metrics")]
-    assert s.drift_monitor.answer(ask[0], lambda *a: answers.append(a), s.proxy_node.charger_report)
-    assert not s.drift_monitor.answer(ask[1], lambda *a: answers.append(a), s.proxy_node.charger_report)
+    assert s.drift_monitor.answer(ask[0], lambda *a: answers.append(a), s.proxy_node.client_report)
+    assert not s.drift_monitor.answer(ask[1], lambda *a: answers.append(a), s.proxy_node.client_report)
     assert json.loads(answers[0][2])["findings"][0]["place"] == "route r1.max-tries"
     fleet_monitor = [net.nodes[p].fleet_monitor for p in CONTROLLER_ADDRESSES]
-    holder_report = HolderReport(CONTROLLER_ADDRESSES[0], ShardOwner(5.0, net.rng))
-    assert fleet_monitor[0].answer(net.now, ask[2], lambda *a: answers.append(a), {}, holder_report)
+    owner_report = OwnerReport(CONTROLLER_ADDRESSES[0], ShardOwner(5.0, net.rng))
+    assert fleet_monitor[0].answer(net.now, ask[2], lambda *a: answers.append(a), {}, owner_report)
     told = nodes.merge_answers([o.status(net.now) for o in fleet_monitor], [("10.9.0.1:8407", "timed out")])
     table = [line.replace("  0.0  ", "  #    ") for line in nodes.lines(told)]
     shown = [
--- a/tests/gateway/drift/test_drift_fleet.py
+++ b/tests/gateway/drift/test_drift_fleet.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from gateway.config.orders import decide
-from gateway.membership import events
+from gateway.config.changes import decide
+from gateway.membership import events, outputs
 from gateway.membership.types import ValueKind
 from gateway.state_machine import FencingToken
 from tests.gateway.drift.drift_network import (
@@ -92,10 +92,12 @@
     assert decide(won, "PUT", other).status == 412
     net.put(2, won)
     net.run(1)
-    digests = {s.drift_detector.running for s in net.proxies}
+    digests = {s.drift_detector.running_digest for s in net.proxies}
     assert len(digests) == 1 and {s.ask("/r3/x") for s in net.proxies} == {200}
     _, s = node(net, 0)
-    s.drift_monitor.heard(2, b"\1" * 8, "10.9.0.1:7660")  # where the other one had won as well
+    s.drift_monitor.on_config_advertised(
+        outputs.ConfigAdvertised(2, b"\1" * 8, "10.9.0.1:7660")
+    )  # where the other one had won as well
     assert s.findings() == [
         f"neighbour 10.9.0.1:7660: is digest {'01' * 8}, "
         f"should be digest {digests.pop():016x} (version 2, its word)"
@@ -114,7 +116,7 @@
         s.proxy_node.version == 2
         and s.drift_monitor.ready
         and s.findings() == []
-        and not s.drift_monitor.refusing
+        and not s.drift_monitor.refusal_reason
     )
     net.cut = lambda a, b, kind: b == address and kind == "value"
     net.put(3, THIRD)
--- a/tests/gateway/programs/controller_cluster.py
+++ b/tests/gateway/programs/controller_cluster.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from gateway.config.orders import ConfigState
+from gateway.config.changes import ConfigState
 from gateway.consensus import events, outputs
-from gateway.programs.control_api import CONFIG, Control
+from gateway.programs.control_api import CONFIG, ControlApi
 from gateway.runtime.http_listener import HttpCall
 from tests.gateway.consensus.consensus_cluster import (
     ConsensusCluster,
@@ -51,7 +51,7 @@
 
     def __init__(self, core: ControllerCluster, node: Node) -> None:
         self.core, self.node, self.version, self.config_state = core, node, 0, ConfigState()
-        self.control = Control(self, lambda call: None)
+        self.control = ControlApi(self, lambda call: None)
 
     def leads(self, now: float) -> bool:
         return self.node.machine.has_leader_lease(now)
@@ -109,7 +109,7 @@
         controller = self.controllers[self.giving.address]
         if output.outcome == "committed":
             self.done[controller.version] = self.committed[controller.version]
-        controller.control.proposed(self.now, output.token, output.outcome)
+        controller.control.on_proposal_outcome(self.now, output.token, output.outcome)
 
     def _committed(self, node: Node, output: outputs.Committed) -> None:
         super()._committed(node, output)
--- a/tests/gateway/programs/test_control_api.py
+++ b/tests/gateway/programs/test_control_api.py
@@ -11,9 +11,9 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from gateway.config.orders import ConfigState
+from gateway.config.changes import ConfigState
 from gateway.membership.events import Deregistration, Heartbeat
-from gateway.programs.control_api import MAX_PENDING_ORDERS, ORDER_PATIENCE_S, Control
+from gateway.programs.control_api import CALL_TIMEOUT_S, MAX_PENDING_CALLS, ControlApi
 from gateway.runtime import http_listener as http_listener_module
 from gateway.runtime.http_listener import EMPTY_REQUEST, HttpCall, HttpCallHandler, HttpListener
 from ingress.net.http_messages import ClientRequest
@@ -62,7 +62,7 @@
         self.out: list[tuple[int, bytes]] = []
         self.calls: list[Heartbeat | Deregistration] = []
         self.said: list[str] = []
-        self.control = Control(self, self.calls.append)
+        self.control = ControlApi(self, self.calls.append)
         self.loop = asyncio.get_running_loop()
 
     def leads(self, now: float) -> bool:
@@ -95,7 +95,7 @@
         )  # type: ignore
         if outcome == "committed":
             self.version, self.config_state = self.version + 1, ConfigState.decode(value, self.config_state)
-        self.control.proposed(self.now, token, outcome)
+        self.control.on_proposal_outcome(self.now, token, outcome)
 
     def tick(self, seconds: float) -> None:
         self.now += seconds
@@ -166,7 +166,7 @@
     await controller.call("first", "PUT", CONFIG + "?x=1", config(1, 0, "a"))
     controller.leader = ""
     late = await controller.held_back("while nobody leads", "PUT", CONFIG, config(1, 0, "a"))
-    controller.tick(ORDER_PATIENCE_S + 0.01)
+    controller.tick(CALL_TIMEOUT_S + 0.01)
     await late
     soon = await controller.held_back("while nobody leads yet", "PUT", CONFIG, config(1, 0, "a"))
     controller.leader = "me"
@@ -202,9 +202,9 @@
     first = await controller.held_back("first", "PUT", CONFIG, config(1, 0, "a"))
     await controller.call("meanwhile", "GET", CONFIG)
     second = await controller.held_back("second", "PUT", CONFIG, config(2, 0, "b"))
-    for _ in range(MAX_PENDING_ORDERS - 1):
+    for _ in range(MAX_PENDING_CALLS - 1):
         await controller.send("PUT", CONFIG, config(9, 9))
-    await until(lambda: len(controller.control.orders) == MAX_PENDING_ORDERS)
+    await until(lambda: len(controller.control.queue) == MAX_PENDING_CALLS)
     await controller.call("too many", "PUT", CONFIG, config(3, 0, "c"))
     controller.outcomes = ["committed"]
     controller.end("committed")
@@ -225,14 +225,14 @@
     controller.tick(0.3)
     await controller.call("what comes next", "PUT", CONFIG, config(3, 0, "a"))
     await later
-    controller.tick(ORDER_PATIENCE_S - 0.31)
+    controller.tick(CALL_TIMEOUT_S - 0.31)
     assert not never.done() and controller.version == 2
     controller.tick(0.02)
     await never
     controller.outcomes = [None]
     first = await controller.held_back("whose end takes long", "PUT", CONFIG, config(6, 5, "c"))
     second = await controller.held_back("on top of it", "PUT", CONFIG, config(7, 6, "d"))
-    controller.tick(ORDER_PATIENCE_S + 0.1)
+    controller.tick(CALL_TIMEOUT_S + 0.1)
     assert not second.done()
     controller.outcomes = ["committed"]
     controller.end("committed")
@@ -256,7 +256,7 @@
     assert not controller.out
     first = await controller.held_back("cut short, sent again", "PUT", CONFIG, whole)
     second = await controller.send("PUT", CONFIG, config(5, 2, "a", "b"))
-    await until(lambda: len(controller.control.orders) == 1)
+    await until(lambda: len(controller.control.queue) == 1)
     second.writer.close()
     await until(lambda: len(controller.http_listener.connections) == 1)
     controller.outcomes = ["committed"]
@@ -292,7 +292,10 @@
     for well, method, body in ((True, "PUT", json.dumps(beat).encode()), (False, "DELETE", b"")):
         task = await controller.held_back("taken" if well else "not vouched for", method, path, body)
         target = "10.2.0.3:8407" if well else ""
-        controller.control.heartbeat_answered(controller.calls[-1].token, well, target)
+        if well:
+            controller.control.acknowledge_call(controller.calls[-1].token, target)
+        else:
+            controller.control.reject_call(controller.calls[-1].token)
         await task
     for wrong in ({"address": "10.128.0.9"}, {"call-seq": "x"}, {"cold-left-s": -1}, {"capacity": 1 << 40}):
         await controller.call(str(wrong), "PUT", path, json.dumps({**beat, **wrong}).encode())
--- a/tests/gateway/programs/test_control_connections.py
+++ b/tests/gateway/programs/test_control_connections.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gateway.config.orders import ConfigState
-from gateway.programs.control_api import CONFIG, PROPOSAL_TIMEOUT_S, Control
+from gateway.config.changes import ConfigState
+from gateway.programs.control_api import CONFIG, PROPOSAL_TIMEOUT_S, ControlApi
 from gateway.runtime.http_listener import HttpCall, HttpListener, Reply
 from simulation.model.proxy_sockets import SimulatedServerConnection
 from simulation.model.simulator import Process, Simulator
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self.process = Process(Simulator(1), "controller", 0.0, 100.0, 0.0)
-        self.control = Control(self, lambda call: self.tokens.append((call.token, call.id)))
+        self.control = ControlApi(self, lambda call: self.tokens.append((call.token, call.id)))
         self.tokens = list[tuple[int, str]]()
         self.proposals = list[int]()
         self.told = dict[str, list[tuple[int, bytes]]]()
@@ -92,10 +92,10 @@
         elif what == "ack" and self.tokens:  # also one that was before
             token, name = self.tokens[n % len(self.tokens)]
             before = len(self.told[name])
-            self.control.heartbeat_answered(token, i % 3 > 0)
+            (self.control.acknowledge_call if i % 3 else self.control.reject_call)(token)
             assert len(self.told[name]) == max(before, 1)
         elif what == "settle" and self.proposals:
-            self.control.proposed(
+            self.control.on_proposal_outcome(
                 self.process.time(),
                 self.proposals[n % len(self.proposals)],
                 ("committed", "rejected", "unknown")[i % 3],
@@ -157,14 +157,14 @@
         method, path = call.request.about
         self.answer(HttpCall(method, path, bytes(call.body)), client.reply)
 
-    def newest(self: Any, token: Any, well: bool) -> None:
+    def newest(self: Any, token: Any) -> None:
         if self.pending_heartbeats:
-            self.pending_heartbeats.popitem()[1](200 if well else 503, b"", b"")
+            self.pending_heartbeats.popitem()[1](200, b"", b"")
 
     if fault == "late":
         monkeypatch.setattr("gateway.runtime.http_listener.HttpCallHandler.take", careless)
     else:
-        monkeypatch.setattr("gateway.programs.control_api.Control.heartbeat_answered", newest)
+        monkeypatch.setattr("gateway.programs.control_api.ControlApi.acknowledge_call", newest)
     rng = random.Random(1)
     with pytest.raises(AssertionError):
         for _ in range(200):
--- a/tests/gateway/programs/test_order_retries.py
+++ b/tests/gateway/programs/test_order_retries.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from gateway.config import orders
-from gateway.config.orders import ConfigState, without_order_history
+from gateway.config import changes
+from gateway.config.changes import ConfigState, without_history
 from gateway.consensus import events
 from tests.gateway.consensus.consensus_cluster import InvariantViolation
 from tests.gateway.programs.controller_cluster import ControllerCluster, SimulatedController, explore
@@ -23,7 +23,7 @@
 
 
 def test_a_short_memory_leaves_repeats_unclear(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(orders, "MAX_REMEMBERED_ORDERS", 2)
+    monkeypatch.setattr(changes, "MAX_REMEMBERED_CHANGES", 2)
     for seed in range(6):
         explore(3, seed, clear_s=0.0)
 
@@ -68,20 +68,18 @@
 def forgets(monkeypatch: pytest.MonkeyPatch) -> type[SimulatedController]:
     """Two orders are remembered, and nothing tells that others were taken."""
 
-    def with_order(config_state: ConfigState, document: orders.Document, order: int) -> ConfigState:
-        taken = {**dict(list(config_state.taken.items())[-1:]), order: document.generation}
+    def with_change(config_state: ConfigState, document: changes.Document, order: int) -> ConfigState:
+        taken = {**dict(list(config_state.accepted.items())[-1:]), order: document.generation}
         return ConfigState(document, taken)
 
-    monkeypatch.setattr(ConfigState, "with_order", with_order)
+    monkeypatch.setattr(ConfigState, "with_change", with_change)
     return SimulatedController
 
 
 def keeps_to_itself(monkeypatch: pytest.MonkeyPatch) -> type[SimulatedController]:
     """The memory is no part of the value."""
     encode = ConfigState.encode
-    monkeypatch.setattr(
-        ConfigState, "encode", lambda config_state: without_order_history(encode(config_state))
-    )
+    monkeypatch.setattr(ConfigState, "encode", lambda config_state: without_history(encode(config_state)))
     return SimulatedController
 
 
@@ -101,7 +99,7 @@
     class Hasty(SimulatedController):
         def propose(self, token: int, value: bytes, expected: int) -> None:
             super().propose(token, value, expected)
-            self.control.proposed(self.core.now, token, "committed")
+            self.control.on_proposal_outcome(self.core.now, token, "committed")
 
     return Hasty
 
@@ -112,14 +110,14 @@
     class Sure(SimulatedController):
         def __init__(self, *its: object) -> None:
             super().__init__(*its)  # type: ignore[arg-type]
-            proposed = self.control.proposed
+            on_proposal_outcome = self.control.on_proposal_outcome
 
             def told(now: float, token: int, outcome: str) -> None:
-                if outcome == "unknown" and self.control.out is not None:
-                    self.control.out.order.reply(412, b"", b'{"generation":9999}')
-                proposed(now, token, outcome)
+                if outcome == "unknown" and self.control.in_flight is not None:
+                    self.control.in_flight.call.reply(412, b"", b'{"generation":9999}')
+                on_proposal_outcome(now, token, outcome)
 
-            self.control.proposed = told  # type: ignore[method-assign]
+            self.control.on_proposal_outcome = told  # type: ignore[method-assign]
 
     return Sure
 
--- a/tests/gateway/programs/test_reload.py
+++ b/tests/gateway/programs/test_reload.py
@@ -117,7 +117,7 @@
     now += 1
     controller_node.tick(now)
     assert driver.to == set(OLD)
-    controller_node.seeds(NEW)
+    controller_node.set_seeds(NEW)
     now += 1
     controller_node.tick(now)
     assert set(NEW) <= driver.to
@@ -141,9 +141,7 @@
     known += [(0, "10.1.0.5:7660"), (1, "10.2.0.5:7660")]
     controller_node.publish_ingresses(100.0)
     own = held()
-    controller_node.handle_membership(
-        controller_node.membership, events.Publish(ValueKind.INGRESSES, FencingToken(4, 1), b"")
-    )
+    controller_node.handle_membership(events.Publish(ValueKind.INGRESSES, FencingToken(4, 1), b""))
     controller_node.publish_ingresses(101.0)
     assert held().fencing_token == (4, 1)  # it isn't the leader of a later term
     controller_node.raft.replica.enter_term(5)
--- a/tests/gateway/quota/test_client_shutdown.py
+++ b/tests/gateway/quota/test_client_shutdown.py
@@ -230,8 +230,8 @@
         shard_map = ShardMap(term=1, number=1, owners=["10.1.0.1:7661"], owner_of_shard=bytes(SHARDS))
         node.handle_quota(ShardMapReceived(shard_map.SerializeToString()))
         await node.leave_quota()
-        assert node.charge_timer is not None
-        node.charge_timer.cancel()
+        assert node.quota_timer is not None
+        node.quota_timer.cancel()
         return driver.heard
 
     assert [heartbeat.leaving for heartbeat in asyncio.run(main())] == [True]
--- a/tests/gateway/test_compatibility.py
+++ b/tests/gateway/test_compatibility.py
@@ -10,7 +10,7 @@
 import pytest
 from google.protobuf.descriptor import Descriptor, FieldDescriptor
 
-from gateway.config.orders import ConfigState
+from gateway.config.changes import ConfigState
 from gateway.consensus import consensus_pb2
 from gateway.consensus.entry import Member
 from gateway.consensus.store import Store
@@ -53,7 +53,7 @@
 def test_the_configuration_value_of_an_earlier_release_is_decoded(form: int) -> None:
     state = ConfigState.decode((STORED / f"value-form-{form}.bin").read_bytes())
     assert state.generation == 2
-    assert list(state.taken.values()) == [1, 2] and state.forgotten == 0
+    assert list(state.accepted.values()) == [1, 2] and state.forgotten_generation == 0
     assert state.document is not None
     assert sorted(state.document.tenants) == ["land-office", "survey"]
     assert sorted(state.document.routes) == ["order", "read"]
