--- a/tests/simulation/test_allowance.py
+++ b/tests/simulation/test_allowance.py
@@ -8,7 +8,7 @@
 
 from gateway.cli import allowance, commands, nodes
 from gateway.drift.metrics import render_metrics
-from gateway.programs.quota_report import QUOTA_LOGGER, QUOTA_METRIC_PREFIX, ChargerReport, HolderReport
+from gateway.programs.quota_report import QUOTA_LOGGER, QUOTA_METRIC_PREFIX, ClientReport, OwnerReport
 from gateway.quota.decision_statistics import BUCKET_EDGES, DecisionKind
 from gateway.quota.quota_pb2 import Message
 from gateway.runtime.log_ring import LogRing
@@ -39,7 +39,7 @@
 
 def told(net: QuotaNetwork) -> allowance.AllowanceReport:
     """What the command would show, asking all shard owners."""
-    reports = [HolderReport(name, owner) for name, owner in net.owners.items()]
+    reports = [OwnerReport(name, owner) for name, owner in net.owners.items()]
     return allowance.merge_answers([{"node": h.me, **h.status(net.now)} for h in reports], [])
 
 
@@ -67,8 +67,7 @@
     now = told(net)
     assert {row["node"] for row in now.views if row["beyond"]} == {"s0"} and not now.well
     answers = {
-        name: {"node": name, **HolderReport(name, owner).status(net.now)}
-        for name, owner in net.owners.items()
+        name: {"node": name, **OwnerReport(name, owner).status(net.now)} for name, owner in net.owners.items()
     }
     monkeypatch.setattr(nodes, "status", lambda seed, path: answers[seed])
     assert commands.run(["allowance", *answers]) == 2 and "disagrees" in capfd.readouterr().out
@@ -89,7 +88,7 @@
     net.run(25.0)
     net.away = {"s2"}
     net.run(40.0)
-    lines = {name: ChargerReport(name, quota_client) for name, quota_client in net.quota_clients.items()}
+    lines = {name: ClientReport(name, quota_client) for name, quota_client in net.quota_clients.items()}
     changes = [line.changes(net.now) for line in lines.values()]
     net.away, net.loss = set(), 0.0
     net.run(62.0)
@@ -112,8 +111,8 @@
 def test_figures_are_as_a_scraper_reads_them():
     net = busy()
     client_report, owner_report = (
-        ChargerReport("s0", net.quota_clients["s0"]),
-        HolderReport("p0", net.owners["p0"]),
+        ClientReport("s0", net.quota_clients["s0"]),
+        OwnerReport("p0", net.owners["p0"]),
     )
     for counting in (client_report, owner_report):
         body = render_metrics(counting.metrics(net.now), QUOTA_METRIC_PREFIX).decode().splitlines()
@@ -130,8 +129,8 @@
 def test_a_day_is_put_together_from_lines_among_others():
     net = busy()
     net.load("hot", 30.0, 60.0)
-    begun = [ChargerReport(name, quota_client) for name, quota_client in net.quota_clients.items()]
-    begun += [HolderReport(name, owner) for name, owner in net.owners.items()]
+    begun = [ClientReport(name, quota_client) for name, quota_client in net.quota_clients.items()]
+    begun += [OwnerReport(name, owner) for name, owner in net.owners.items()]
     lines = [
         "what else a file holds {",
         '   1.0 edge-a {"logger": "gateway.drift", "held": "gateway.quota_report"}',
--- a/tests/simulation/test_orders.py
+++ b/tests/simulation/test_orders.py
@@ -15,17 +15,17 @@
 
 LOG = """
 start of the day, no object here
-[  12.100 kgn-a-1 controller] {"time": 9.1, "logger": "gateway.config_events", "message": "order taken", "version": 4, "generation": 9}
-[  12.130 kgn-b-1 controller] {"time": 9.13, "logger": "gateway.config_events", "message": "in force", "node": "b:1", "version": 4, "generation": 9, "first": false}
-[  12.140 kgn-a-1 controller] {"time": 9.14, "logger": "gateway.config_events", "message": "order acknowledged", "version": 4, "generation": 9, "after_s": 0.05}
-[  12.200 kgn-c-1 proxy] {"time": 9.2, "logger": "gateway.config_events", "message": "in force", "node": "c:0", "version": 4, "generation": 9, "first": false}
+[  12.100 kgn-a-1 controller] {"time": 9.1, "logger": "gateway.config_events", "message": "configuration change proposed", "version": 4, "generation": 9}
+[  12.130 kgn-b-1 controller] {"time": 9.13, "logger": "gateway.config_events", "message": "configuration in force", "node": "b:1", "version": 4, "generation": 9, "first": false}
+[  12.140 kgn-a-1 controller] {"time": 9.14, "logger": "gateway.config_events", "message": "configuration change acknowledged", "version": 4, "generation": 9, "after_s": 0.05}
+[  12.200 kgn-c-1 proxy] {"time": 9.2, "logger": "gateway.config_events", "message": "configuration in force", "node": "c:0", "version": 4, "generation": 9, "first": false}
 [  12.250 kgn-d-1 proxy] {"time": 9.25, "logger": "gateway.drift", "message": "drift: {odd}"}
-[  13.000 kgn-a-1 controller] {"time": 10.0, "logger": "gateway.config_events", "message": "order taken", "version": 5, "generation": 10}
-[  14.000 kgn-b-1 controller] {"time": 11.0, "logger": "gateway.config_events", "message": "order taken", "version": 5, "generation": 11}
-[  14.100 kgn-b-1 controller] {"time": 11.1, "logger": "gateway.config_events", "message": "order acknowledged", "version": 5, "generation": 11, "after_s": 0.3}
-[  14.110 kgn-b-1 controller] {"time": 11.11, "logger": "gateway.config_events", "message": "in force", "node": "b:1", "version": 5, "generation": 11, "first": false}
-[  15.500 kgn-e-1 proxy] {"time": 12.5, "logger": "gateway.config_events", "message": "in force", "node": "e:0", "version": 5, "generation": 11, "first": true}
-[  16.000 kgn-e-1 proxy] {"time": 13.0, "logger": "gateway.config_events", "message": "in fo
+[  13.000 kgn-a-1 controller] {"time": 10.0, "logger": "gateway.config_events", "message": "configuration change proposed", "version": 5, "generation": 10}
+[  14.000 kgn-b-1 controller] {"time": 11.0, "logger": "gateway.config_events", "message": "configuration change proposed", "version": 5, "generation": 11}
+[  14.100 kgn-b-1 controller] {"time": 11.1, "logger": "gateway.config_events", "message": "configuration change acknowledged", "version": 5, "generation": 11, "after_s": 0.3}
+[  14.110 kgn-b-1 controller] {"time": 11.11, "logger": "gateway.config_events", "message": "configuration in force", "node": "b:1", "version": 5, "generation": 11, "first": false}
+[  15.500 kgn-e-1 proxy] {"time": 12.5, "logger": "gateway.config_events", "message": "configuration in force", "node": "e:0", "version": 5, "generation": 11, "first": true}
+[  16.000 kgn-e-1 proxy] {"time": 13.0, "logger": "gateway.config_events", "message": "configuration in fo
 """  # noqa: E501
 
 
--- a/tests/simulation/test_partitioned_core.py
+++ b/tests/simulation/test_partitioned_core.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from gateway.config.orders import ConfigState
+from gateway.config.changes import ConfigState
+from gateway.config.errors import MalformedStateError
 from gateway.runtime.http_listener import HttpCall
 from simulation.injected_bug_cases import SMALL
 from simulation.model.simulation_run import Run
@@ -210,7 +211,7 @@
         proceed = control.proceed
 
         def waits(now):
-            control.led = None
+            control.leader_known_at = None
             proceed(now)
 
         control.proceed = waits
@@ -252,7 +253,7 @@
 
     def unreadable(value):
         if ConfigState.decode(value).generation > 1:
-            raise ValueError("planted")
+            raise MalformedStateError("planted")
 
     def dull(process):
         if process.kind == "controller":
