--- a/gateway/cli/__init__.py
+++ b/gateway/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command line of the gateway: checks of files, orders to controllers, reports of running nodes."""
+"""Command line of the gateway: checks of files, configuration changes, reports of running nodes."""
--- a/gateway/cli/commands.py
+++ b/gateway/cli/commands.py
@@ -8,6 +8,7 @@
 import json
 import os
 from collections.abc import Iterable
+from http import HTTPStatus
 from typing import ClassVar
 
 from cleo.application import Application
@@ -121,12 +122,13 @@
 
     def handle(self) -> int:
         """Run the command; returns its exit code."""
-        from gateway.cli import nodes
+        from gateway.cli import node_report
 
-        told = nodes.ask(self.argument("seeds"))
-        self.lines([json.dumps(told._asdict())] if self.option("json") else nodes.lines(told))
-        self.faults("", told.faults)
-        return 0 if told.well else EXIT_FAULTS
+        report = node_report.fetch_report(self.argument("seeds"))
+        as_json = self.option("json")
+        self.lines([json.dumps(report._asdict())] if as_json else node_report.lines(report))
+        self.faults("", report.faults)
+        return 0 if report.is_healthy else EXIT_FAULTS
 
 
 class CoreCommand(_CheckCommand):
@@ -138,13 +140,13 @@
 
     def handle(self) -> int:
         """Run the command; returns its exit code."""
-        from gateway.cli import nodes
+        from gateway.cli import core_report, status_client
         from gateway.programs import status_report
 
-        answers, faults = nodes.ask_each(self.argument("seeds"), status_report.CORE)
-        self.lines(status_report.core_lines(answers))
-        self.faults("", faults)
-        return 0 if status_report.core_well(answers) and not faults else EXIT_FAULTS
+        answers, failures = status_client.fetch_all(self.argument("seeds"), status_report.CORE)
+        self.lines(core_report.lines(answers))
+        self.faults("", failures)
+        return 0 if core_report.is_healthy(answers) and not failures else EXIT_FAULTS
 
 
 class BackendsCommand(_CheckCommand):
@@ -156,12 +158,12 @@
 
     def handle(self) -> int:
         """Run the command; returns its exit code."""
-        from gateway.cli import nodes
+        from gateway.cli import backend_report, status_client
         from gateway.programs import status_report
 
-        answers, faults = nodes.ask_each(self.argument("seeds"), status_report.LEASES)
-        self.lines(status_report.lease_lines(answers))
-        return self.faults("", faults) if faults else 0
+        answers, failures = status_client.fetch_all(self.argument("seeds"), status_report.LEASES)
+        self.lines(backend_report.lines(answers))
+        return self.faults("", failures) if failures else 0
 
 
 class AllowanceCommand(_CheckCommand):
@@ -177,13 +179,13 @@
 
     def handle(self) -> int:
         """Run the command; returns its exit code."""
-        from gateway.cli import allowance
+        from gateway.cli import allowance_report
 
-        told = allowance.ask(self.argument("seeds"))
-        table = allowance.lines(told, self.option("nodes"))
-        self.lines([json.dumps(told._asdict())] if self.option("json") else table)
-        self.faults("", told.faults)
-        return 0 if told.well else EXIT_FAULTS
+        report = allowance_report.fetch_report(self.argument("seeds"))
+        table = allowance_report.lines(report, self.option("nodes"))
+        self.lines([json.dumps(report._asdict())] if self.option("json") else table)
+        self.faults("", report.faults)
+        return 0 if report.is_healthy else EXIT_FAULTS
 
 
 class _ConfigCommand(_CheckCommand):
@@ -194,18 +196,17 @@
         option("for", None, "Seconds to go on without a clear answer", flag=False, default="30")
     ]
 
-    def order(self, seeds: list[str], body: bytes) -> int:
-        """Send the request, retrying until there is a definite answer, and print that; the exit code."""
+    def call_controllers(self, seeds: list[str], body: bytes) -> int:
+        """Call these controllers until there is a definite answer, and print that; returns the exit code."""
         from gateway.cli import control_client
 
-        answer = control_client.run(
-            seeds, self.method, control_client.CONFIG, body, float(self.option("for"))
-        )
-        told = answer.body.decode(errors="replace")
-        if answer.status != 200:
+        call = control_client.ControlCall(self.method, control_client.CONFIG, body)
+        answer = control_client.call_with_retries(seeds, call, float(self.option("for")))
+        text = answer.body.decode(errors="replace")
+        if answer.status != HTTPStatus.OK:
             status = f"answered {answer.status}" if answer.status else "no answer"
-            return self.faults("", [(self.method, f"{status} {told}".rstrip())])
-        self.io.write_line(told, type=Type.RAW)
+            return self.faults("", [(self.method, f"{status} {text}".rstrip())])
+        self.io.write_line(text, type=Type.RAW)
         return 0
 
 
@@ -218,7 +219,7 @@
 
     def handle(self) -> int:
         """Run the command; returns its exit code."""
-        return self.order(self.argument("seeds"), b"")
+        return self.call_controllers(self.argument("seeds"), b"")
 
 
 class ConfigPut(_ConfigCommand):
@@ -241,7 +242,7 @@
                 body = file.read()
         except OSError as error:
             return self.faults(path, [(path, error.strerror or str(error))])
-        return self.order(seeds, body)
+        return self.call_controllers(seeds, body)
 
 
 class ConfigPatch(ConfigPut):
--- a/gateway/cli/control_client.py
+++ b/gateway/cli/control_client.py
@@ -1,12 +1,13 @@
 """HTTP client of `control` addresses: retries a call, unchanged, until there is a definite answer.
 
-answer = control_client.run(["10.1.0.5:8407", "10.2.0.3:8407"], "PUT", control_client.CONFIG, body)
+answer = control_client.call_with_retries(["10.1.0.5:8407", "10.2.0.3:8407"], "PUT", CONFIG, body)
 """
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable, Sequence
+from http import HTTPStatus
 from http.client import HTTPConnection, HTTPException
 from typing import NamedTuple
 from urllib.parse import urlsplit
@@ -17,13 +18,13 @@
 CONFIG = "/-/config"
 FINAL_STATUSES = (400, 409, 412, 413, 422)  # definite, as any 2xx is: no retry
 RETRY_STATUSES = (408, 429)  # transient: another controller may accept the call
-TRIES_4XX = 3  # any other 4xx is definite once it was received this often
-REDIRECTS = 2
-# timeout of one call in seconds; bytes of the body that add a second
-SILENCE_S = 1.0
-BYTES_A_SECOND = 1e6
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 2.0
+MAX_OTHER_4XX = 3  # any other 4xx is definite once it was received this often
+MAX_REDIRECTS = 2
+CALL_TIMEOUT_S = 1.0  # of one call,
+BODY_BYTES_PER_SECOND = 1e6  # and a second more for so many bytes of its body
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
+DEFAULT_TIMEOUT_S = 30.0  # of all attempts together
 
 
 class Answer(NamedTuple):
@@ -35,67 +36,73 @@
 
 
 NO_ANSWER = Answer(0, "", b"")
-Call = Callable[[Address, str, str, bytes, float], Answer]
 
 
-def call(address: Address, method: str, path: str, body: bytes, patience_s: float) -> Answer:
-    """One HTTP call with a timeout of `patience_s` seconds; any failure of it is `NO_ANSWER`."""
+class ControlCall(NamedTuple):
+    """A call that is sent unchanged to one controller after the other."""
+
+    method: str
+    path: str
+    body: bytes
+
+
+SendCall = Callable[[Address, ControlCall, float], Answer]
+"""Sends one call to an address, with a timeout in seconds; any failure is `NO_ANSWER`."""
+
+
+def send_call(address: Address, call: ControlCall, timeout_s: float) -> Answer:
+    """Send one call with a timeout; any failure of it is `NO_ANSWER`."""
+    headers = {"Content-Type": "application/json"} if call.body else {}
     try:
         host, port = host_port(address)
-        connection = HTTPConnection(host, port, timeout=patience_s)
+        connection = HTTPConnection(host, port, timeout=timeout_s)
         try:
-            kind = {"Content-Type": "application/json"} if body else {}
-            connection.request(method, path, body or None, kind)
-            got = connection.getresponse()
-            return Answer(got.status, got.getheader("Location") or "", got.read())
+            connection.request(call.method, call.path, call.body or None, headers)
+            response = connection.getresponse()
+            return Answer(response.status, response.getheader("Location") or "", response.read())
         finally:
             connection.close()
     except (OSError, HTTPException, ValueError):
         return NO_ANSWER
 
 
-def run(
+def call_with_retries(
     seeds: Sequence[Address],
-    method: str,
-    path: str,
-    body: bytes = b"",
-    most_s: float = 30.0,
-    call: Call = call,
-    pause: Callable[[float], object] = time.sleep,
+    call: ControlCall,
+    timeout_s: float = DEFAULT_TIMEOUT_S,
+    send: SendCall = send_call,
+    sleep: Callable[[float], object] = time.sleep,
     clock: Callable[[], float] = time.monotonic,
 ) -> Answer:
-    """Call the seeds in turn, with exponential backoff, for at most `most_s` seconds; the last answer.
+    """Call the seeds in turn, with exponential backoff, for at most `timeout_s` seconds; the last answer.
 
     A configuration change without a definite answer may be in force: sent again unchanged it then gets 200.
     """
-    patience = SILENCE_S + len(body) / BYTES_A_SECOND
-    ends = clock() + most_s
-    wait = FIRST_PAUSE_S
-    unexpected_4xx = 0
-    turn = 0
+    call_timeout_s = CALL_TIMEOUT_S + len(call.body) / BODY_BYTES_PER_SECOND
+    deadline = clock() + timeout_s
+    backoff_s = INITIAL_BACKOFF_S
+    other_4xx = 0
+    attempt = 0
     while True:
-        answer = _follow(call, seeds[turn % len(seeds)], method, path, body, patience)
-        unexpected_4xx += 400 <= answer.status < 500 and answer.status not in RETRY_STATUSES
-        if (
-            200 <= answer.status < 300
-            or answer.status in FINAL_STATUSES
-            or unexpected_4xx >= TRIES_4XX
-            or clock() + wait > ends
-        ):
+        answer = _follow_redirects(send, seeds[attempt % len(seeds)], call, call_timeout_s)
+        other_4xx += 400 <= answer.status < 500 and answer.status not in RETRY_STATUSES
+        is_definite = 200 <= answer.status < 300 or answer.status in FINAL_STATUSES
+        if is_definite or other_4xx >= MAX_OTHER_4XX or clock() + backoff_s > deadline:
             return answer
-        pause(wait)
-        wait = min(2 * wait, LONGEST_PAUSE_S)
-        turn = turn + 1
+        sleep(backoff_s)
+        backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
+        attempt += 1
 
 
-def _follow(call: Call, address: Address, method: str, path: str, body: bytes, patience: float) -> Answer:
-    """The answer of one controller, following its redirects (307)."""
+def _follow_redirects(send: SendCall, address: Address, call: ControlCall, timeout_s: float) -> Answer:
+    """The answer of one controller, or of those that it redirects to (307)."""
     answer = NO_ANSWER
-    for _ in range(1 + REDIRECTS):
-        answer = call(address, method, path, body, patience)
-        to = urlsplit(answer.location)
-        if answer.status != 307 or not to.netloc:
+    for _ in range(1 + MAX_REDIRECTS):
+        answer = send(address, call, timeout_s)
+        target = urlsplit(answer.location)
+        if answer.status != HTTPStatus.TEMPORARY_REDIRECT or not target.netloc:
             break
-        address = to.netloc
-        path = to.path + (f"?{to.query}" if to.query else "")
+        address = target.netloc
+        query = f"?{target.query}" if target.query else ""
+        call = call._replace(path=target.path + query)
     return answer
--- /dev/null
+++ b/gateway/cli/errors.py
@@ -0,0 +1,7 @@
+"""Errors of the command line's HTTP clients."""
+
+from __future__ import annotations
+
+
+class StatusCallError(Exception):
+    """A `control` address can't be reached, or its answer is no status. The message says which."""
--- a/gateway/programs/status_report.py
+++ b/gateway/programs/status_report.py
@@ -1,10 +1,9 @@
-"""A controller's status of the core (`/-/core`) and backends (`/-/leases`), and tables of it."""
+"""A controller's status of the core (`/-/core`) and of backends (`/-/leases`), as JSON objects."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from gateway.cli import nodes
 from gateway.consensus import quorum
 from gateway.consensus.raft import RaftNode
 from gateway.membership.controller import ControllerMembership
@@ -90,42 +89,3 @@
             for b, row in ((row.backend, row) for _, row in sorted(membership.table.rows.items()))
         ],
     }
-
-
-def core_lines(answers: list[Row]) -> list[str]:
-    """Lines for the terminal: the members as the leader (or the member of the latest term) reports them,
-    then how many losses the core tolerates."""
-    if not answers:
-        return []
-    a = max(answers, key=lambda a: (a["sure"], a["term"]))
-    rows = [
-        (m["address"], m["disk"], "leader" if m["address"] == a["leader"] else m["state"], m["heard-s"])
-        for m in a["members"]
-    ]
-    return [
-        *nodes.columns(("address", "disk", "role", "heard-s"), rows),
-        f"version {a['version']}, term {a['term']}, told by {a['node']}, "
-        f"{'surely' if a['sure'] else 'not surely'} the newest; "
-        f"bears {a['bears']} lost at once, {a['tolerance']} wanted"
-        + ("" if a["bears-now"] is None else f"; {a['bears-now']} more right now"),
-    ]
-
-
-def core_well(answers: list[Row]) -> bool:
-    """Whether a leader has its lease, members aren't changing, and the core tolerates what it has to."""
-    return any(a["sure"] and (a["bears-now"] or 0) >= a["tolerance"] and not a["changing"] for a in answers)
-
-
-def lease_lines(answers: list[Row]) -> list[str]:
-    """Lines for the terminal: all backends, each with the longest reported lease."""
-    names = ("id", "service", "address", "zone", "phase", "cold-left-s", "lease-left-s", "held-by")
-    found: dict[str, Row] = {}
-    for row in (row for a in answers for row in a["backends"]):
-        known = found.setdefault(row["id"], row)
-        if (row["lease-left-s"] or 0.0) > (known["lease-left-s"] or 0.0):
-            found[row["id"]] = row
-    rows = [
-        tuple(" ".join(row[n]) if n == "held-by" else row[n] for n in names)
-        for _, row in sorted(found.items())
-    ]
-    return nodes.columns(names, rows)
--- a/simulation/allowance.py
+++ b/simulation/allowance.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any, NamedTuple
 
-from gateway.cli.nodes import columns
+from gateway.cli.table import format_table
 from gateway.programs.quota_report import QUOTA_LOGGER
 from gateway.quota.decision_statistics import BUCKET_EDGES, DECISION_LABELS, LATENCY_LABELS, DecisionKind
 from simulation.log_lines import objects
@@ -223,5 +223,5 @@
     ]
     text = []
     for head, (names, *rows) in parts:
-        text.append("\n".join([head, *columns(names, rows)]))
+        text.append("\n".join([head, *format_table(names, rows)]))
     return "\n\n".join([*text, f"units given back: {day.back.total()}"])
--- a/simulation/capacity/budget.py
+++ b/simulation/capacity/budget.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from gateway.cli.nodes import MOST_BYTES
+from gateway.cli.status_client import MAX_BODY_BYTES
 from gateway.programs.fleet_monitor import STATUS
 from gateway.programs.status_report import LEASES
 from gateway.quota.client_registry import MAX_CLIENTS
@@ -313,7 +313,7 @@
             "all",
             f"answer to GET {path}",
             "MB",
-            MOST_BYTES / 1e6,
+            MAX_BODY_BYTES / 1e6,
             Estimate(found / 1e6, (Part(axis, 0, size, found / 1e6),)),
             "one answer with all of them",
             remedies.TOOLS,
--- a/tests/gateway/cli/test_operator_commands.py
+++ b/tests/gateway/cli/test_operator_commands.py
@@ -9,8 +9,8 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from gateway.cli import commands, control_client
-from gateway.cli.control_client import NO_ANSWER, Answer
+from gateway.cli import backend_report, commands, control_client, core_report
+from gateway.cli.control_client import CONFIG, NO_ANSWER, Answer, ControlCall
 from gateway.consensus import quorum
 from gateway.membership.controller import ControllerMembership
 from gateway.membership.events import Heartbeat, SetCore
@@ -33,9 +33,9 @@
         self.calls: list[tuple[str, str]] = []
         self.pauses: list[float] = []
 
-    def call(self, address: str, method: str, path: str, body: bytes, patience_s: float) -> Answer:
-        self.calls.append((address, path))
-        self.now += patience_s
+    def send(self, address: str, call: ControlCall, timeout_s: float) -> Answer:
+        self.calls.append((address, call.path))
+        self.now += timeout_s
         return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
     def pause(self, seconds: float) -> None:
@@ -43,13 +43,11 @@
         self.now += seconds
 
     def run(self, **more: Any) -> int:
-        return control_client.run(
+        return control_client.call_with_retries(
             [A, B],
-            "PUT",
-            control_client.CONFIG,
-            b"x",
-            call=self.call,
-            pause=self.pause,
+            ControlCall("PUT", CONFIG, b"x"),
+            send=self.send,
+            sleep=self.pause,
             clock=lambda: self.now,
             **more,
         ).status
@@ -72,19 +70,19 @@
 
 def test_it_ends_when_its_time_is_over_and_pauses_stay_short() -> None:
     script = ScriptedCalls(NO_ANSWER)
-    assert script.run(most_s=30.0) == 0
-    assert script.now <= 32 and max(script.pauses) == control_client.LONGEST_PAUSE_S
+    assert script.run(timeout_s=30.0) == 0
+    assert script.now <= 32 and max(script.pauses) == control_client.MAX_BACKOFF_S
 
 
 def test_commands(tmp_path: Path, capfd: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch) -> None:
     got: list[tuple[Any, ...]] = []
     answers = [Answer(200, "", b'{"a":"<b>\\n"}'), OK, Answer(412, "", b'{"generation":9}')]
 
-    def call(*asked: Any) -> Answer:
-        got.append(asked[:4])
+    def respond(seeds: list[str], call: ControlCall, timeout_s: float) -> Answer:
+        got.append((tuple(seeds), *call))
         return answers.pop(0)
 
-    monkeypatch.setattr(control_client, "run", lambda seeds, *asked: call(tuple(seeds), *asked))
+    monkeypatch.setattr(control_client, "call_with_retries", respond)
     file = tmp_path / "c.json"
     file.write_bytes(b"{}")
     assert [
@@ -95,9 +93,9 @@
         commands.run(["config", "put", A, "/none"]),
     ] == [0, 0, 2, 2, 2]
     assert got == [
-        ((A, B), "GET", control_client.CONFIG, b""),
-        ((A, B), "PUT", control_client.CONFIG, b"{}"),
-        ((A,), "PATCH", control_client.CONFIG, b"{}"),
+        ((A, B), "GET", CONFIG, b""),
+        ((A, B), "PUT", CONFIG, b"{}"),
+        ((A,), "PATCH", CONFIG, b"{}"),
     ]
     out, err = capfd.readouterr()
     assert out == '{"a":"<b>\\n"}\n{"generation":7}\n'
@@ -123,7 +121,7 @@
     def told() -> tuple[int | None, bool]:
         answers = [status_report.core(n.machine, core.now) for n in core.up()]
         leads = max(answers, key=lambda a: a["sure"])
-        return leads["bears-now"], status_report.core_well(answers)
+        return leads["bears-now"], core_report.is_healthy(answers)
 
     core.run(0.2)
     assert told() == (2, True)
@@ -161,9 +159,9 @@
     for member in (m for a in answers for m in a["members"] if m["heard-s"]):
         assert 0 < member["heard-s"] < 0.2
         member["heard-s"] = 0.1
-    lines = status_report.core_lines(answers)
-    assert status_report.core_well(answers) and not status_report.core_well(answers[:0])
-    assert not status_report.core_well([a for a in answers if a["node"] != leader.address])
+    lines = core_report.lines(answers)
+    assert core_report.is_healthy(answers) and not core_report.is_healthy(answers[:0])
+    assert not core_report.is_healthy([a for a in answers if a["node"] != leader.address])
     membership = ControllerMembership("10.0.0.1:1", 0, [], 1.0, random.Random(1))
     membership.handle(0.0, SetCore(("10.0.0.1:1",)))
     for n, draining in enumerate((False, True)):
@@ -176,5 +174,5 @@
             {**row, "lease-left-s": None} for row in status_report.leases(membership, 2.0)["backends"]
         ],
     }
-    lines += status_report.lease_lines([silent, status_report.leases(membership, 2.0)])
+    lines += backend_report.lines([silent, status_report.leases(membership, 2.0)])
     assert "\n".join(lines) == snapshot
--- a/tests/gateway/drift/test_drift.py
+++ b/tests/gateway/drift/test_drift.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from gateway.cli import nodes
+from gateway.cli import node_report
+from gateway.cli.status_client import CallFailure, StatusAnswers
 from gateway.config.changes import ConfigState
 from gateway.config.routing import CompiledConfig
 from gateway.config.schema import Difference
@@ -72,7 +73,7 @@
         and s.drift_detector.running_digest == s.drift_detector.acknowledged_digest
     )
     assert all(
-        nodes.merge_answers([net.nodes[p].fleet_monitor.status(net.now)], []).findings
+        node_report.merge_answers(StatusAnswers([net.nodes[p].fleet_monitor.status(net.now)], [])).findings
         for p in CONTROLLER_ADDRESSES
     )
 
@@ -203,14 +204,15 @@
     fleet_monitor = [net.nodes[p].fleet_monitor for p in CONTROLLER_ADDRESSES]
     owner_report = OwnerReport(CONTROLLER_ADDRESSES[0], ShardOwner(5.0, net.rng))
     assert fleet_monitor[0].answer(net.now, ask[2], lambda *a: answers.append(a), {}, owner_report)
-    told = nodes.merge_answers([o.status(net.now) for o in fleet_monitor], [("10.9.0.1:8407", "timed out")])
-    table = [line.replace("  0.0  ", "  #    ") for line in nodes.lines(told)]
+    failures = [CallFailure("10.9.0.1:8407", "timed out")]
+    report = node_report.merge_answers(StatusAnswers([o.status(net.now) for o in fleet_monitor], failures))
+    table = [line.replace("  0.0  ", "  #    ") for line in node_report.lines(report)]
     shown = [
         render_metrics(s.drift_monitor.metrics()[:1]).decode(),
         *(line for line in table if "proxy" not in line),
     ]
     assert "\n".join(shown) == snapshot
-    assert not told.well and b"gateway_drift_nodes_lagging 0\n" in answers[1][2]
+    assert not report.is_healthy and b"gateway_drift_nodes_lagging 0\n" in answers[1][2]
 
 
 def test_a_book_that_is_built_on_a_former_one_has_the_digest_of_a_new_one():
--- a/tests/simulation/test_allowance.py
+++ b/tests/simulation/test_allowance.py
@@ -6,7 +6,8 @@
 import logging
 from typing import Any
 
-from gateway.cli import allowance, commands, nodes
+from gateway.cli import allowance_report, commands, status_client
+from gateway.cli.status_client import StatusAnswers
 from gateway.drift.metrics import render_metrics
 from gateway.programs.quota_report import QUOTA_LOGGER, QUOTA_METRIC_PREFIX, ClientReport, OwnerReport
 from gateway.quota.decision_statistics import BUCKET_EDGES, DecisionKind
@@ -37,16 +38,17 @@
     return net
 
 
-def told(net: QuotaNetwork) -> allowance.AllowanceReport:
+def told(net: QuotaNetwork) -> allowance_report.AllowanceReport:
     """What the command would show, asking all shard owners."""
     reports = [OwnerReport(name, owner) for name, owner in net.owners.items()]
-    return allowance.merge_answers([{"node": h.me, **h.status(net.now)} for h in reports], [])
+    answers = [{"node": report.me, **report.status(net.now)} for report in reports]
+    return allowance_report.merge_answers(StatusAnswers(answers, []))
 
 
 def test_all_nodes_agree_on_a_busy_morning_and_with_shard_owners_lost_and_nodes_cut_off():
     net = busy()
     now = told(net)
-    assert now.well and [row["tenant"] for row in now.tenants] == ["calm", "hot"]
+    assert now.is_healthy and [row["tenant"] for row in now.tenants] == ["calm", "hot"]
     assert all(row["nodes"] == 4 and row["oldest-s"] < 8 for row in now.tenants)
     assert any(row["differs"] > 0 for row in now.views)  # old as they are, by which nothing is wrong
     net.kill(now.tenants[1]["holder"])
@@ -59,17 +61,17 @@
         assert all(row["state"] == "agrees" for row in told(net).tenants), until
     net.away, net.loss = set(), 0.0
     net.run(50.0)
-    assert told(net).well and all(row["nodes"] == 4 for row in told(net).tenants)
+    assert told(net).is_healthy and all(row["nodes"] == 4 for row in told(net).tenants)
 
 
 def test_a_node_that_knows_something_else_is_found(monkeypatch, capfd):
     net = busy(MisreadingNetwork)
     now = told(net)
-    assert {row["node"] for row in now.views if row["beyond"]} == {"s0"} and not now.well
+    assert {row["node"] for row in now.views if row["beyond"]} == {"s0"} and not now.is_healthy
     answers = {
         name: {"node": name, **OwnerReport(name, owner).status(net.now)} for name, owner in net.owners.items()
     }
-    monkeypatch.setattr(nodes, "status", lambda seed, path: answers[seed])
+    monkeypatch.setattr(status_client, "fetch_status", lambda seed, path: answers[seed])
     assert commands.run(["allowance", *answers]) == 2 and "disagrees" in capfd.readouterr().out
     assert commands.run(["allowance", "--nodes", *answers]) == 2 and "s0" in capfd.readouterr().out
     for answer in answers.values():
@@ -78,8 +80,9 @@
     assert commands.run(["allowance", "--json", *answers]) == 0
     assert len(json.loads(capfd.readouterr().out)["views"]) == 6
     twice = [answers["p0"], {**answers["p0"], "node": "p9"}, answers["p1"], answers["p2"]]
-    assert {row["state"] for row in allowance.merge_answers(twice, []).tenants} <= {"held twice", "agrees"}
-    assert not allowance.merge_answers(twice[:2] + twice[:2], []).well
+    merged = allowance_report.merge_answers(StatusAnswers(twice, []))
+    assert {row["state"] for row in merged.tenants} <= {"held twice", "agrees"}
+    assert not allowance_report.merge_answers(StatusAnswers(twice[:2] + twice[:2], [])).is_healthy
 
 
 def test_each_request_is_counted_once_by_how_it_was_decided():
--- a/tests/test_import_structure.py
+++ b/tests/test_import_structure.py
@@ -17,6 +17,7 @@
 UPWARD_IMPORTS = (
     ("gateway.runtime", "gateway.programs"),
     ("gateway.runtime", "gateway.cli"),
+    ("gateway.programs", "gateway.cli"),
     ("gateway", "simulation"),
     ("ingress", "gateway"),
     ("ingress", "simulation"),
