--- a/gateway/programs/controller.py
+++ b/gateway/programs/controller.py
@@ -37,7 +37,7 @@
         self, loop: asyncio.AbstractEventLoop, settings: Settings, store: Store, rng: random.Random
     ) -> None:
         self.controller_node = ControllerNode(self, steady, settings, store.load(), rng, PROCESS_START)
-        self.disk = DiskThread(
+        self.disk: DiskThread[PersistentState] = DiskThread(
             loop, store.save, self.controller_node.written, self.controller_node.write_failed
         )
         self.port = PeerTransport(
@@ -71,7 +71,7 @@
     def tick(self, now: float) -> None:
         """Pass on the time, and check whether the disk hangs."""
         self.controller_node.tick(now)
-        self.disk.look(now)
+        self.disk.check_stall(now)
 
 
 async def serve(settings: Settings, ring: LogRing, file: SettingsFile) -> None:
--- a/gateway/programs/proxy.py
+++ b/gateway/programs/proxy.py
@@ -84,7 +84,10 @@
     stop = startup.stop_on_signal(loop, reload.read)
     second = start_maintenance(loop, reload, ring)
     ticker = Ticker(
-        loop, TICK_S, lambda now: proxy.proxy_node.handle_membership(membership_events.Tick()), first=0.0
+        loop,
+        TICK_S,
+        lambda now: proxy.proxy_node.handle_membership(membership_events.Tick()),
+        first_after_s=0.0,
     )
     http_listener = HttpListener(loop, proxy.ready)
     listen = settings.network.listen
--- a/gateway/runtime/address.py
+++ b/gateway/runtime/address.py
@@ -4,10 +4,16 @@
 
 from gateway.state_machine import Address
 
+MAX_PORT = 65535
+
 
 def host_port(address: Address) -> tuple[str, int]:
-    """Host and port of an address. Raises ValueError if it has another form."""
+    """Host and port of an address.
+
+    Raises:
+        ValueError: The address has another form.
+    """
     host, _, port = address.rpartition(":")
-    if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
+    if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"{address!r} is no address (ip:port)")
     return host, int(port)
--- a/gateway/runtime/disk_thread.py
+++ b/gateway/runtime/disk_thread.py
@@ -1,4 +1,4 @@
-"""A thread that saves records, so that a disk that hangs blocks nothing else."""
+"""A thread that saves records, so that a stalled disk blocks nothing else."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import threading
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import Generic, TypeVar
 
 from gateway.runtime.clock import steady
 
@@ -16,8 +16,10 @@
 
 log = logging.getLogger("gateway.disk_thread")
 
+Record = TypeVar("Record")
 
-class DiskThread:
+
+class DiskThread(Generic[Record]):
     """One thread that saves one record at a time; `done` and `failed` are called in the event loop.
 
     A newer record replaces one whose save hasn't started: `done` gets the tokens of both, in their order,
@@ -28,7 +30,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        save: Callable[[Any], None],
+        save: Callable[[Record], None],
         done: Callable[[int], None],
         failed: Callable[[int, str], None],
         clock: Callable[[], float] = steady,
@@ -39,17 +41,17 @@
         self.failed = failed
         self.clock = clock
         self.changed = threading.Condition()
-        self.waiting: deque[int] = deque(maxlen=MAX_TOKENS)  # tokens that the next save will complete
-        self.record: Any = None
-        self.began: float | None = None  # start of the running save, None if none runs
+        self.pending_tokens: deque[int] = deque(maxlen=MAX_TOKENS)  # tokens that the next save will complete
+        self.record: Record | None = None
+        self.save_started_at: float | None = None  # of the running save, None if none runs
         self.stopped = False
         self.stalled = False
         self.thread: threading.Thread | None = None
 
-    def write(self, token: int, record: Any) -> None:
+    def write(self, token: int, record: Record) -> None:
         """Queue a record to be saved; returns at once."""
         with self.changed:
-            self.waiting.append(token)
+            self.pending_tokens.append(token)
             self.record = record
             self.changed.notify()
         if self.thread is None:
@@ -58,55 +60,58 @@
 
     def stalled_for(self, now: float) -> float:
         """Seconds since the running save started; 0 if none runs."""
-        began = self.began
-        return 0.0 if began is None else max(0.0, now - began)
+        started_at = self.save_started_at
+        return 0.0 if started_at is None else max(0.0, now - started_at)
 
-    def look(self, now: float) -> None:
+    def check_stall(self, now: float) -> None:
         """Log a warning when the disk starts to hang, and when it no longer does. To be called regularly."""
-        stalled = self.stalled_for(now) > STALL_THRESHOLD_S
-        if stalled != self.stalled:
-            self.stalled = stalled
-            log.warning(
-                "the disk hangs: nothing is saved for %.1f s" if stalled else "the disk goes on",
-                *([self.stalled_for(now)] if stalled else []),
-            )
-
-    def stop(self, wait_s: float) -> bool:
-        """Save what is queued and end the thread; whether it has ended within `wait_s` seconds."""
+        stalled_s = self.stalled_for(now)
+        is_stalled = stalled_s > STALL_THRESHOLD_S
+        if is_stalled == self.stalled:
+            return
+        self.stalled = is_stalled
+        if is_stalled:
+            log.warning("disk stalled: the running save has taken %.1f s", stalled_s)
+        else:
+            log.warning("disk no longer stalled")
+
+    def stop(self, timeout_s: float) -> bool:
+        """Save what is queued and end the thread; whether it has ended within `timeout_s` seconds."""
         with self.changed:
             self.stopped = True
             self.changed.notify()
         if self.thread is not None:
-            self.thread.join(wait_s)
+            self.thread.join(timeout_s)
         return self.thread is None or not self.thread.is_alive()
 
     def _run(self) -> None:
         while True:
             with self.changed:
-                while not self.waiting:
+                while not self.pending_tokens:
                     if self.stopped:
                         return
                     self.changed.wait()
-                tokens = list(self.waiting)
+                tokens = list(self.pending_tokens)
                 record = self.record
-                self.waiting.clear()
+                assert record is not None
+                self.pending_tokens.clear()
                 self.record = None
-                self.began = self.clock()
+                self.save_started_at = self.clock()
             problem = self._save(record)
-            self.began = None
+            self.save_started_at = None
             try:
-                self.loop.call_soon_threadsafe(self._tell, tokens, problem)
+                self.loop.call_soon_threadsafe(self._report, tokens, problem)
             except RuntimeError:  # the loop is closed
                 return
 
-    def _save(self, record: Any) -> str | None:
+    def _save(self, record: Record) -> str | None:
         try:
             self.save(record)
         except Exception as error:
             return str(error) or type(error).__name__
         return None
 
-    def _tell(self, tokens: list[int], problem: str | None) -> None:
+    def _report(self, tokens: list[int], problem: str | None) -> None:
         for token in tokens:
             if problem is None:
                 self.done(token)
--- a/gateway/runtime/http_listener.py
+++ b/gateway/runtime/http_listener.py
@@ -8,6 +8,7 @@
 import asyncio
 import itertools
 from collections.abc import Callable, Iterator
+from http import HTTPStatus
 from typing import NamedTuple
 
 from ingress import interface as io
@@ -49,7 +50,7 @@
         self.statistics = RequestStatistics(loop)
         self.statistics.timer.cancel()
         self.answer = answer
-        self.open: dict[int, Client] = {}
+        self.pending: dict[int, Client] = {}
 
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]]
@@ -60,29 +61,29 @@
     def take(self, call: ClientRequest, client: Client) -> None:
         """Pass on a complete call; it may be answered later."""
         if call.upload is not None:  # its body exceeds the memory for bodies
-            client.reply(503, b"Retry-After: 1\r\n", b"")
+            client.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"Retry-After: 1\r\n", b"")
             return
-        self.open[id(call)] = client
+        self.pending[id(call)] = client
 
         def reply(status: int, lines: bytes = b"", body: bytes = b"") -> None:
             # The closure keeps the call alive, so no other call gets the same id() until then.
-            if (waiting := self.open.pop(id(call), None)) is not None:
-                waiting.reply(status, lines, body)
+            if (caller := self.pending.pop(id(call), None)) is not None:
+                caller.reply(status, lines, body)
 
         method, path = call.request.about
         self.answer(HttpCall(method, path, bytes(call.body)), reply)
 
     def gone(self, call: ClientRequest) -> None:
         """The caller has disconnected: its answer will be dropped."""
-        self.open.pop(id(call), None)
+        self.pending.pop(id(call), None)
 
     def whole(self, call: ClientRequest) -> None:
         """A streamed body has arrived. Nothing to do: such calls were refused by `take`."""
 
     def abort_request(self, call: ClientRequest, status: int) -> None:
         """The call was cut off or too slow: answer with this status."""
-        if (waiting := self.open.pop(id(call), None)) is not None:
-            waiting.reply(status, b"", b"")
+        if (caller := self.pending.pop(id(call), None)) is not None:
+            caller.reply(status, b"", b"")
 
     def upload_stalled(self, call: ClientRequest) -> None:
         """A streamed body stalls. Nothing to do: bodies are not forwarded."""
@@ -98,7 +99,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, answer: Callable[[HttpCall, Reply], None]) -> None:
         self.loop = loop
-        self.calls = HttpCallHandler(loop, answer)
+        self.call_handler = HttpCallHandler(loop, answer)
         self.connections: set[ClientConnection] = set()
         self.order: Iterator[int] = itertools.count()
         self.bodies = 0
@@ -109,10 +110,14 @@
     @property
     def request_handler(self) -> HttpCallHandler:
         """The handler of complete calls."""
-        return self.calls
+        return self.call_handler
 
     async def listen(self, address: str) -> None:
-        """Listen on `ip:port`. Raises OSError if the address can't be bound."""
+        """Listen on `ip:port`.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         host, _, port = address.rpartition(":")
         self.listener = await self.loop.create_server(
             lambda: ClientConnection(self), host, int(port), backlog=512
--- a/gateway/runtime/log_ring.py
+++ b/gateway/runtime/log_ring.py
@@ -11,7 +11,6 @@
 import sys
 from collections import deque
 from collections.abc import Callable
-from typing import Any
 
 from gateway.runtime.clock import steady
 
@@ -34,18 +33,18 @@
     def __init__(
         self,
         size: int = MAX_RECORDS,
-        write: Callable[[str], Any] | None = None,
+        write: Callable[[str], object] | None = None,
         clock: Callable[[], float] = steady,
         immediate_logger: str = "",
     ) -> None:
         super().__init__()
         self.records: deque[logging.LogRecord] = deque(maxlen=size)
         self.clock = clock
-        self.out = write or _to_stderr
+        self.write = write or _write_to_stderr
         self.dump_pending = False
-        self.next_dump = float("-inf")
-        self.second = float("-inf")
-        self.lines = 0
+        self.next_dump_at = float("-inf")
+        self.second_began_at = float("-inf")
+        self.lines_this_second = 0
         self.dropped = 0
         self.immediate_logger = immediate_logger
 
@@ -67,7 +66,7 @@
         if record.name == self.immediate_logger or (
             NOTICE <= record.levelno <= logging.WARNING and self._line_allowed()
         ):
-            self._write([record])
+            self._write_records([record])
             return True
         self.records.append(record)
         if record.levelno >= logging.ERROR:
@@ -76,42 +75,46 @@
             self.tick()
         return True
 
-    def dump(self, why: str) -> None:
-        """Write the ring because of `why`, now or once 5 s have passed since the last dump."""
-        self.handle(logging.LogRecord("gateway.log_ring", logging.ERROR, "", 0, "spilled: %s", (why,), None))
+    def dump(self, reason: str) -> None:
+        """Write the ring because of `reason`, now or once 5 s have passed since the last dump."""
+        self.handle(
+            logging.LogRecord(
+                "gateway.log_ring", logging.ERROR, "", 0, "log ring dumped: %s", (reason,), None
+            )
+        )
 
     def tick(self) -> None:
         """Write a pending dump if it is due. To be called regularly."""
         now = self.clock()
-        if self.dump_pending and now >= self.next_dump:
-            self.next_dump = now + DUMP_INTERVAL_S
+        if self.dump_pending and now >= self.next_dump_at:
+            self.next_dump_at = now + DUMP_INTERVAL_S
             self.dump_pending = False
             records = list(self.records)
             self.records.clear()
-            self._write(records)
+            self._write_records(records)
 
     def flush(self) -> None:
         """Write a pending dump at once, before the program exits."""
-        self.next_dump = float("-inf")
+        self.next_dump_at = float("-inf")
         self.tick()
 
     def _line_allowed(self) -> bool:
         now = self.clock()
-        if now >= self.second + 1:
-            self.second = now
-            self.lines = 0
-        self.lines += 1
-        return self.lines <= MAX_LINES_PER_SECOND
+        if now >= self.second_began_at + 1:
+            self.second_began_at = now
+            self.lines_this_second = 0
+        self.lines_this_second += 1
+        return self.lines_this_second <= MAX_LINES_PER_SECOND
 
-    def _write(self, records: list[logging.LogRecord]) -> None:
+    def _write_records(self, records: list[logging.LogRecord]) -> None:
         try:
             if self.formatter is None:
-                self.formatter = _json_lines()
-            self.out("".join(self._line(record) for record in records))
+                self.formatter = _json_formatter()
+            self.write("".join(self._format_line(record) for record in records))
         except Exception:  # a log must not stop the program
             self.dropped += len(records)
 
-    def _line(self, record: logging.LogRecord) -> str:
+    def _format_line(self, record: logging.LogRecord) -> str:
         try:
             return self.format(record) + "\n"
         except Exception:  # the arguments don't match the format
@@ -119,7 +122,7 @@
             return ""
 
 
-def _json_lines() -> logging.Formatter:
+def _json_formatter() -> logging.Formatter:
     from pythonjsonlogger.json import JsonFormatter  # imported late: slow, and most runs write nothing
 
     return JsonFormatter(
@@ -129,6 +132,6 @@
     )
 
 
-def _to_stderr(lines: str) -> None:
+def _write_to_stderr(lines: str) -> None:
     sys.stderr.write(lines)
     sys.stderr.flush()
--- a/gateway/runtime/peer_transport.py
+++ b/gateway/runtime/peer_transport.py
@@ -23,10 +23,12 @@
 from gateway.state_machine import Address
 
 VERSION = 1
+VERSION_SHIFT = 5  # bits of the first byte below the version,
+PLANE_MASK = (1 << VERSION_SHIFT) - 1  # which are the number of the plane
 MAX_DATAGRAM_BYTES = 1150  # bytes with the first one; longer messages go over TCP
 MAX_READS_PER_WAKEUP = 32  # datagrams read before the event loop goes on
 SOCKET_BYTES = 1 << 19  # receive buffer of the UDP socket
-SWEEP_S = 2.0  # between two checks for idle links
+SWEEP_INTERVAL_S = 2.0  # between two checks for idle links
 MAX_CACHED_ADDRESSES = 1024  # addresses whose parsed form is cached
 
 log = logging.getLogger("gateway.peer_transport")
@@ -35,8 +37,11 @@
 class Message(Protocol):
     """The methods of a protobuf message that are used here."""
 
-    def SerializeToString(self) -> bytes: ...  # noqa: N802
-    def ParseFromString(self, serialized: bytes) -> Any: ...  # noqa: N802
+    def SerializeToString(self) -> bytes:  # noqa: N802
+        """The message as bytes."""
+
+    def ParseFromString(self, serialized: bytes) -> object:  # noqa: N802
+        """Read the message from bytes."""
 
 
 class Plane(NamedTuple):
@@ -47,7 +52,7 @@
     """
 
     number: int
-    message_class: Callable[[], Any]
+    message_class: Callable[[], Message]
     on_message: Callable[[Address, Any], object]
     slot: Callable[[Any], Hashable] = lambda _: None
 
@@ -67,7 +72,7 @@
 class PeerTransport:
     """A process's own port, UDP and TCP. `open` raises OSError if it can't be bound; no other method raises.
 
-    `counts` is by plane; `bad` counts dropped messages that couldn't be read or sent, by reason.
+    `counts` is by plane; `dropped` counts messages that couldn't be read or sent, by reason.
     """
 
     def __init__(
@@ -77,10 +82,10 @@
         self.address = address
         self.handlers = dict(handlers)
         self.counts = {number: PlaneCounters() for number in self.handlers}
-        self.bad: dict[str, int] = {}
-        self.links = TcpLinks(loop, address, self._lost)
-        self.to: dict[Address, tuple[str, int]] = {}
-        self.names: dict[tuple[str, int], Address] = {}
+        self.dropped: dict[str, int] = {}
+        self.links = TcpLinks(loop, address, self._drop)
+        self.resolved: dict[Address, tuple[str, int]] = {}
+        self.sender_names: dict[tuple[str, int], Address] = {}
         self.socket: socket.socket | None = None
         self.server: asyncio.Server | None = None
         self.sweeper: Ticker | None = None
@@ -93,13 +98,13 @@
             udp.setblocking(False)
             try_option(udp, socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BYTES)
             udp.bind((host, port))
-            self.server = await self.loop.create_server(self._inbound, host, port)
+            self.server = await self.loop.create_server(self._accept_link, host, port)
         except BaseException:
             udp.close()
             raise
         self.socket = udp
-        self.loop.add_reader(udp.fileno(), self._readable)
-        self.sweeper = Ticker(self.loop, SWEEP_S, lambda now: self.links.sweep())
+        self.loop.add_reader(udp.fileno(), self._read_datagrams)
+        self.sweeper = Ticker(self.loop, SWEEP_INTERVAL_S, lambda now: self.links.sweep())
 
     def close(self) -> None:
         """Stop receiving and sending. Messages queued on links are lost."""
@@ -112,46 +117,49 @@
             self.socket = None
 
     def send(self, to: Address, plane: int, message: Message) -> None:
-        """Send a message to another process's own port, or drop it and count that in `bad`."""
+        """Send a message to another process's own port, or drop it and count that in `dropped`."""
         count = self.counts.get(plane)
         if count is None:
             count = self.counts[plane] = PlaneCounters()
-        data = bytes((VERSION << 5 | plane,)) + message.SerializeToString()
+        data = bytes((VERSION << VERSION_SHIFT | plane,)) + message.SerializeToString()
         count.messages_out += 1
         count.bytes_out += len(data)
         if self.socket is None:
-            return self._lost("port is closed")
-        target = self.to.get(to)
+            self._drop("port is closed")
+            return
+        target = self.resolved.get(to)
         if target is None:
-            target = self._target(to)
+            target = self._resolve(to)
             if target is None:
-                return self._lost("no address")
+                self._drop("no address")
+                return
         if len(data) > MAX_DATAGRAM_BYTES:
             known = self.handlers.get(plane)
             slot = None if known is None else known.slot(message)
-            return self.links.send(to, target, data, None if slot is None else (plane, slot))
+            self.links.send(to, target, data, None if slot is None else (plane, slot))
+            return
         try:
             self.socket.sendto(data, target)
         except OSError:
-            self._lost("socket is full")
+            self._drop("socket is full")
 
-    def _target(self, to: Address) -> tuple[str, int] | None:
+    def _resolve(self, to: Address) -> tuple[str, int] | None:
         try:
             target = host_port(to)
         except ValueError:
             return None
-        if len(self.to) >= MAX_CACHED_ADDRESSES:
-            self.to.clear()
-        self.to[to] = target
+        if len(self.resolved) >= MAX_CACHED_ADDRESSES:
+            self.resolved.clear()
+        self.resolved[to] = target
         return target
 
-    def _lost(self, why: str) -> None:
-        self.bad[why] = self.bad.get(why, 0) + 1
+    def _drop(self, reason: str) -> None:
+        self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
-    def _inbound(self) -> InboundLink:
-        return InboundLink(self.links, self._take, self._lost)
+    def _accept_link(self) -> InboundLink:
+        return InboundLink(self.links, self._on_data, self._drop)
 
-    def _readable(self) -> None:
+    def _read_datagrams(self) -> None:
         for _ in range(MAX_READS_PER_WAKEUP):
             if self.socket is None:  # the handler of a message has closed the port
                 return
@@ -159,31 +167,34 @@
                 data, source = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:  # nothing left to read, or an ICMP error of an earlier datagram
                 return
-            name = self.names.get(source)
+            name = self.sender_names.get(source)
             if name is None:
-                if len(self.names) >= MAX_CACHED_ADDRESSES:
-                    self.names.clear()
-                name = self.names[source] = f"{source[0]}:{source[1]}"
-            self._take(name, data)
+                if len(self.sender_names) >= MAX_CACHED_ADDRESSES:
+                    self.sender_names.clear()
+                name = self.sender_names[source] = f"{source[0]}:{source[1]}"
+            self._on_data(name, data)
 
-    def _take(self, sender: Address, data: bytes) -> None:
-        plane = self.handlers.get(data[0] & 31) if data else None
+    def _on_data(self, sender: Address, data: bytes) -> None:
+        plane = self.handlers.get(data[0] & PLANE_MASK) if data else None
         if plane is None:
-            return self._lost("unknown plane")
-        if data[0] >> 5 != VERSION:
-            return self._lost("unknown version")
+            self._drop("unknown plane")
+            return
+        if data[0] >> VERSION_SHIFT != VERSION:
+            self._drop("unknown version")
+            return
         count = self.counts[plane.number]
         count.messages_in += 1
         count.bytes_in += len(data)
-        note = plane.message_class()
+        message = plane.message_class()
         try:
-            note.ParseFromString(data[1:])
+            message.ParseFromString(data[1:])
         except Exception:
-            return self._lost("unreadable")
+            self._drop("unreadable")
+            return
         try:
-            plane.on_message(sender, note)
+            plane.on_message(sender, message)
         except Exception:
-            log.exception("a message of plane %s from %s could not be handled", plane.number, sender)
+            log.exception("handling a message of plane %s from %s failed", plane.number, sender)
 
 
-__all__ = ["MAX_DATAGRAM_BYTES", "MAX_QUEUED_BYTES", "PlaneCounters", "Message", "Plane", "PeerTransport"]
+__all__ = ["MAX_DATAGRAM_BYTES", "MAX_QUEUED_BYTES", "Message", "PeerTransport", "Plane", "PlaneCounters"]
--- a/gateway/runtime/settings.py
+++ b/gateway/runtime/settings.py
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from gateway.runtime import settings_schema
-from gateway.runtime.address import host_port
+from gateway.runtime.address import MAX_PORT, host_port
 from gateway.runtime.settings_schema import Fault, Field, above_zero, not_negative
 from gateway.state_machine import Address
 
@@ -142,8 +142,8 @@
 
 
 def _port_range(ports: tuple[int, ...]) -> str:
-    right = len(ports) == 2 and 0 < ports[0] < ports[1] < 65536
-    return "" if right else f"must be two ports, the lower one first, not {list(ports)}"
+    is_valid = len(ports) == 2 and 0 < ports[0] < ports[1] <= MAX_PORT
+    return "" if is_valid else f"must be two ports, the lower one first, not {list(ports)}"
 
 
 def _bound(name: str, default: float) -> Field:
@@ -205,16 +205,16 @@
     _bound("recovery-s", 15.0),
 )
 
-Found = Result[Settings, list[Fault]]
+SettingsResult = Result[Settings, list[Fault]]
 
 
-def read(environ: Mapping[str, str]) -> Found:
+def read(environ: Mapping[str, str]) -> SettingsResult:
     """The settings in the file that the environment names, or all faults in it."""
     path = environ.get(VARIABLE, "")
     return read_file(path) if path else Err([Fault(VARIABLE, "is not set")])
 
 
-def read_file(path: str) -> Found:
+def read_file(path: str) -> SettingsResult:
     """The settings in a file, or all faults with their places."""
     try:
         with open(path, encoding="utf-8") as file:
@@ -228,22 +228,30 @@
     return read_document(document)
 
 
-def read_document(document: Mapping[str, Any]) -> Found:
+def read_document(document: Mapping[str, object]) -> SettingsResult:
     """The settings in a file's content."""
     found = settings_schema.read_table(document, FIELDS)
     if isinstance(found, Err):
         return found
-    v = found.ok_value
-    own = _build(NodeSettings, v, "self.", limits=_build(Limits, v, "self.limits."))
-    network = _build(Network, v, "network.", listen=_build(Listen, v, "network.listen."))
+    values = found.ok_value
+    own = _build(NodeSettings, values, "self.", limits=_build(Limits, values, "self.limits."))
+    network = _build(Network, values, "network.", listen=_build(Listen, values, "network.listen."))
     terms = _build(
         Terms,
-        v,
+        values,
         "terms.",
-        fault_budget=_build(FaultBudget, v, "terms.fault-budget."),
-        bounds=_build(Bounds, v, "terms.bounds."),
+        fault_budget=_build(FaultBudget, values, "terms.fault-budget."),
+        bounds=_build(Bounds, values, "terms.bounds."),
     )
-    return Ok(Settings(own, network, _build(Provider, v, "provider."), terms))
+    return Ok(Settings(own, network, _build(Provider, values, "provider."), terms))
+
+
+class FileStat(NamedTuple):
+    """By what a changed file is recognized."""
+
+    modified_ns: int
+    size: int
+    inode: int
 
 
 class SettingsFile:
@@ -251,31 +259,31 @@
 
     def __init__(self, environ: Mapping[str, str]) -> None:
         self.environ = environ
-        self.seen = self._look()
+        self.last_stat = self._stat()
 
     def changed(self) -> bool:
         """Whether the file was replaced or modified since the last check."""
-        before = self.seen
-        self.seen = self._look()
-        return self.seen is not None and self.seen != before
+        before = self.last_stat
+        self.last_stat = self._stat()
+        return self.last_stat is not None and self.last_stat != before
 
-    def read(self) -> Found:
+    def read(self) -> SettingsResult:
         """Like the function `read`; the present file counts as checked."""
-        self.seen = self._look()
+        self.last_stat = self._stat()
         return read(self.environ)
 
-    def _look(self) -> tuple[int, int, int] | None:
+    def _stat(self) -> FileStat | None:
         try:
             found = os.stat(self.environ.get(VARIABLE, ""))
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size, found.st_ino
+        return FileStat(found.st_mtime_ns, found.st_size, found.st_ino)
 
 
 T = TypeVar("T")
 
 
-def _build(cls: type[T], values: Mapping[str, Any], prefix: str, **parts: Any) -> T:
+def _build(cls: type[T], values: Mapping[str, object], prefix: str, **parts: object) -> T:
     names = cast(Any, cls)._fields
     return cls(*(parts[name] if name in parts else values[prefix + name.replace("_", "-")] for name in names))
 
--- a/gateway/runtime/settings_schema.py
+++ b/gateway/runtime/settings_schema.py
@@ -9,7 +9,10 @@
 
 from gateway.runtime.address import host_port
 
-REQUIRED: Any = object()
+Converter = Callable[[object], object]
+"""Converts a value as it was parsed from YAML. Raises ValueError with what is needed instead."""
+
+REQUIRED = object()
 """Marks a field without a default."""
 
 
@@ -24,66 +27,70 @@
 
 
 class Field(NamedTuple):
-    """One field. `kind` converts the value or raises ValueError; `check` returns what is wrong, or ""."""
+    """One field, by its dotted name.
+
+    `convert` returns the typed value or raises ValueError; `check` returns what is wrong with it, or "".
+    """
 
     name: str
-    kind: Callable[[Any], Any]
-    default: Any = REQUIRED
+    convert: Converter
+    default: object = REQUIRED
     check: Callable[[Any], str] | None = None
 
 
-def text(value: Any) -> str:
+def text(value: object) -> str:
     """A non-empty string."""
     if not isinstance(value, str) or not value:
         raise ValueError(f"a text is needed, not {value!r}")
     return value
 
 
-def boolean(value: Any) -> bool:
+def boolean(value: object) -> bool:
     """True or false."""
     if not isinstance(value, bool):
         raise ValueError(f"true or false is needed, not {value!r}")
     return value
 
 
-def number(value: Any) -> float:
+def number(value: object) -> float:
     """A finite number."""
     if isinstance(value, bool) or not isinstance(value, int | float) or value - value != 0:
         raise ValueError(f"a number is needed, not {value!r}")
     return float(value)
 
 
-def integer(value: Any) -> int:
+def integer(value: object) -> int:
     """A whole number."""
-    if number(value) != int(value):
+    converted = number(value)
+    if converted != int(converted):
         raise ValueError(f"a whole number is needed, not {value!r}")
-    return int(value)
+    return value if isinstance(value, int) else int(converted)
 
 
-def address(value: Any) -> str:
+def address(value: object) -> str:
     """An address `ip:port`."""
     host_port(text(value))
     return str(value)
 
 
-def sequence_of(kind: Callable[[Any], Any]) -> Callable[[Any], tuple[Any, ...]]:
+def sequence_of(convert: Converter) -> Callable[[object], tuple[object, ...]]:
     """Converter of a list of values of one kind into a tuple."""
 
-    def read(value: Any) -> tuple[Any, ...]:
+    def read(value: object) -> tuple[object, ...]:
         if not isinstance(value, list | tuple):
             raise ValueError(f"a list is needed, not {value!r}")
-        return tuple(map(kind, value))
+        return tuple(map(convert, value))
 
     return read
 
 
-def mapping_of(kind: Callable[[Any], Any]) -> Callable[[Any], dict[str, Any]]:
+def mapping_of(convert: Converter) -> Callable[[object], dict[str, object]]:
     """Converter of a mapping from names to values of one kind."""
 
-    def read(value: Any) -> dict[str, Any]:
+    def read(value: object) -> dict[str, object]:
         if not isinstance(value, dict):
             raise ValueError(f"a table is needed, not {value!r}")
-        return {text(name): kind(item) for name, item in value.items()}
+        return {text(name): convert(item) for name, item in value.items()}
 
     return read
 
@@ -98,7 +105,7 @@
     return "" if value >= 0 else f"must not be negative, as {value:g} is"
 
 
-def read_table(document: Any, fields: Iterable[Field]) -> Result[dict[str, Any], list[Fault]]:
+def read_table(document: object, fields: Iterable[Field]) -> Result[dict[str, object], list[Fault]]:
     """The values of all fields by dotted name, or all faults. Fields without a row are ignored.
 
     An empty string counts as missing.
@@ -108,12 +115,12 @@
     for field in fields:
         try:
             values[field.name] = _value(document, field)
-        except ValueError as wrong:
-            faults.append(Fault(field.name, str(wrong)))
+        except ValueError as error:
+            faults.append(Fault(field.name, str(error)))
     return Err(faults) if faults else Ok(values)
 
 
-def _value(document: Any, field: Field) -> Any:
+def _value(document: object, field: Field) -> object:
     found = document
     for part in field.name.split("."):
         found = found.get(part) if isinstance(found, Mapping) else None
@@ -121,7 +128,7 @@
         if field.default is REQUIRED:
             raise ValueError("is missing")
         return field.default
-    value = field.kind(found)
+    value = field.convert(found)
     problem = field.check(value) if field.check is not None else ""
     if problem:
         raise ValueError(problem)
--- a/gateway/runtime/tcp_links.py
+++ b/gateway/runtime/tcp_links.py
@@ -13,7 +13,7 @@
 import socket
 from collections import deque
 from collections.abc import Callable, Hashable
-from typing import cast
+from typing import NamedTuple, cast
 
 from gateway.runtime.address import host_port
 from gateway.state_machine import Address
@@ -26,6 +26,7 @@
 MAX_OUTBOUND_LINKS = 64  # opened by this process
 MAX_INBOUND_LINKS = 256  # opened by others
 MAX_ADDRESS_BYTES = 64
+LENGTH_BYTES = 4  # before each message, big endian
 OPTIONS = (
     (socket.IPPROTO_TCP, "TCP_NODELAY", 1),
     (socket.IPPROTO_TCP, "TCP_USER_TIMEOUT", 1500),  # ms
@@ -36,32 +37,40 @@
 )
 
 
+class QueuedMessage(NamedTuple):
+    """A message that waits for its link; a later one of the same slot (None: none) replaces it."""
+
+    slot: Hashable
+    data: bytes
+
+
 class OutboundLink(asyncio.Protocol):
     """A link to another process. Messages are queued until it is connected and while its buffer is full."""
 
     def __init__(self, links: TcpLinks, to: Address) -> None:
         self.links = links
         self.to = to
-        self.waiting: deque[tuple[Hashable, bytes]] = deque()
-        self.bytes = 0
+        self.queue: deque[QueuedMessage] = deque()
+        self.queued_bytes = 0
         self.transport: asyncio.Transport | None = None
         self.paused = True
-        self.used = links.loop.time()
+        self.last_used_at = links.loop.time()
 
     def send(self, data: bytes, slot: Hashable = None) -> None:
         """Write a message, or queue it until the link can take it."""
-        self.used = self.links.loop.time()
+        self.last_used_at = self.links.loop.time()
         if not self.paused and self.transport is not None:
-            return self.transport.write(_frame(data))
+            self.transport.write(_frame(data))
+            return
         if slot is not None:
-            for waits in [w for w in self.waiting if w[0] == slot]:
-                self.waiting.remove(waits)
-                self.bytes -= len(waits[1])
-        self.waiting.append((slot, data))
-        self.bytes += len(data)
-        while self.bytes > MAX_QUEUED_BYTES:
-            self.bytes -= len(self.waiting.popleft()[1])
-            self.links.lost("link is full")
+            for superseded in [queued for queued in self.queue if queued.slot == slot]:
+                self.queue.remove(superseded)
+                self.queued_bytes -= len(superseded.data)
+        self.queue.append(QueuedMessage(slot, data))
+        self.queued_bytes += len(data)
+        while self.queued_bytes > MAX_QUEUED_BYTES:
+            self.queued_bytes -= len(self.queue.popleft().data)
+            self.links.on_drop("link is full")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Connected: send the own address first, then the queue."""
@@ -78,19 +87,19 @@
     def resume_writing(self) -> None:
         """The buffer has room again: write the queue."""
         self.paused = False
-        while self.waiting and not self.paused and self.transport is not None:
-            _, data = self.waiting.popleft()
-            self.bytes -= len(data)
-            self.transport.write(_frame(data))
+        while self.queue and not self.paused and self.transport is not None:
+            queued = self.queue.popleft()
+            self.queued_bytes -= len(queued.data)
+            self.transport.write(_frame(queued.data))
 
     @property
     def has_delivered(self) -> bool:
         """Whether every message was handed to the kernel."""
-        return self.transport is not None and not self.waiting and not self.transport.get_write_buffer_size()
+        return self.transport is not None and not self.queue and not self.transport.get_write_buffer_size()
 
     def connection_lost(self, error: Exception | None) -> None:
         """The connection has ended."""
-        self.links.gone(self)
+        self.links.forget(self)
 
     def close(self) -> None:
         """Abort the connection."""
@@ -101,58 +110,65 @@
 class InboundLink(asyncio.Protocol):
     """A link that another process has opened. Invalid framing closes it.
 
-    `take` gets the sender's address and each message, `lost` the reason of each dropped one.
+    `on_message` gets the sender's address and each message, `on_drop` the reason of each dropped one.
     """
 
     def __init__(
-        self, links: TcpLinks, take: Callable[[Address, bytes], None], lost: Callable[[str], None]
+        self,
+        links: TcpLinks,
+        on_message: Callable[[Address, bytes], None],
+        on_drop: Callable[[str], None],
     ) -> None:
         self.links = links
-        self.take = take
-        self.lost = lost
+        self.on_message = on_message
+        self.on_drop = on_drop
         self.sender: Address | None = None
         self.buffer = bytearray()
         self.transport: asyncio.Transport | None = None
-        self.used = links.loop.time()
+        self.last_used_at = links.loop.time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A connection was accepted. Beyond `MAX_INBOUND_LINKS` an idle link is closed, else this one."""
         self.transport = cast(asyncio.Transport, transport)
         set_options(transport)
         if not self.links.make_inbound_room():
-            return self._drop("too many links")
+            self._drop("too many links")
+            return
         self.links.inbound.add(self)
 
     def data_received(self, data: bytes) -> None:
         """Split what was received into frames and pass them on."""
-        self.used = self.links.loop.time()
+        self.last_used_at = self.links.loop.time()
         self.buffer += data
         start = 0
-        have = len(self.buffer)
-        while self.transport is not None and have - start >= 4:
-            length = int.from_bytes(self.buffer[start : start + 4], "big")
+        received = len(self.buffer)
+        while self.transport is not None and received - start >= LENGTH_BYTES:
+            length = int.from_bytes(self.buffer[start : start + LENGTH_BYTES], "big")
             if length > (MAX_QUEUED_BYTES if self.sender is not None else MAX_ADDRESS_BYTES):
-                return self._drop("too long")
-            if have - start - 4 < length:
+                self._drop("too long")
+                return
+            if received - start - LENGTH_BYTES < length:
                 break
-            frame = bytes(self.buffer[start + 4 : start + 4 + length])
-            start += 4 + length
-            self._frame(frame)
+            body_start = start + LENGTH_BYTES
+            start = body_start + length
+            self._on_frame(bytes(self.buffer[body_start:start]))
         if start:
             del self.buffer[:start]
 
-    def _frame(self, frame: bytes) -> None:
+    def _on_frame(self, frame: bytes) -> None:
         if self.sender is not None:
-            return self.take(self.sender, frame)
+            self.on_message(self.sender, frame)
+            return
         try:
             address = frame.decode("ascii")
             host_port(address)
         except ValueError:
-            return self._drop("no address")
+            self._drop("no address")
+            return
         self.sender = address
 
-    def _drop(self, why: str) -> None:
-        self.lost(why)
+    def _drop(self, reason: str) -> None:
+        self.on_drop(reason)
         self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -171,11 +187,11 @@
     """All links of one process, by the address of the other side."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, address: Address, lost: Callable[[str], None]
+        self, loop: asyncio.AbstractEventLoop, address: Address, on_drop: Callable[[str], None]
     ) -> None:
         self.loop = loop
         self.address = address
-        self.lost = lost
+        self.on_drop = on_drop
         self.outbound: dict[Address, OutboundLink] = {}
         self.inbound: set[InboundLink] = set()
         self.opening: set[asyncio.Task[None]] = set()
@@ -183,11 +199,13 @@
     def send(self, to: Address, target: tuple[str, int], data: bytes, slot: Hashable = None) -> None:
         """Send over the link to a process, opening it if needed. `slot` None: never replaced in the queue."""
         if len(data) > MAX_QUEUED_BYTES:
-            return self.lost("too long")
+            self.on_drop("too long")
+            return
         link = self.outbound.get(to)
         if link is None:
             if not self._make_outbound_room():
-                return self.lost("too many links")
+                self.on_drop("too many links")
+                return
             link = self.outbound[to] = OutboundLink(self, to)
             task = self.loop.create_task(self._open(link, target))
             self.opening.add(task)
@@ -201,8 +219,8 @@
         idle = [link for link in self.outbound.values() if link.has_delivered]
         if not idle:
             return False
-        oldest = min(idle, key=lambda link: link.used)
-        self.gone(oldest)
+        oldest = min(idle, key=lambda link: link.last_used_at)
+        self.forget(oldest)
         oldest.close()
         return True
 
@@ -210,8 +228,8 @@
         """Whether another link may be accepted; at the limit, the least recently used idle one is closed."""
         if len(self.inbound) < MAX_INBOUND_LINKS:
             return True
-        oldest = min(self.inbound, key=lambda link: link.used)
-        if self.loop.time() - oldest.used < EVICTABLE_AFTER_S:
+        oldest = min(self.inbound, key=lambda link: link.last_used_at)
+        if self.loop.time() - oldest.last_used_at < EVICTABLE_AFTER_S:
             return False
         self.inbound.discard(oldest)
         oldest.close()
@@ -221,25 +239,25 @@
         try:
             await asyncio.wait_for(self.loop.create_connection(lambda: link, *target), CONNECT_TIMEOUT_S)
         except OSError:
-            self.lost("no connection")
-            self.gone(link)
+            self.on_drop("no connection")
+            self.forget(link)
             link.close()
 
-    def gone(self, link: OutboundLink) -> None:
+    def forget(self, link: OutboundLink) -> None:
         """A link has ended: its queue is dropped, and the next message opens another link."""
         if self.outbound.get(link.to) is link:
             del self.outbound[link.to]
-        for _ in link.waiting:
-            self.lost("link is gone")
-        link.waiting.clear()
+        for _ in link.queue:
+            self.on_drop("link is gone")
+        link.queue.clear()
 
     def sweep(self) -> None:
         """Close idle links."""
         now = self.loop.time()
-        for link in [x for x in self.outbound.values() if now - x.used > OUTBOUND_IDLE_S]:
-            self.gone(link)
+        for link in [x for x in self.outbound.values() if now - x.last_used_at > OUTBOUND_IDLE_S]:
+            self.forget(link)
             link.close()
-        for inbound_link in [x for x in self.inbound if now - x.used > INBOUND_IDLE_S]:
+        for inbound_link in [x for x in self.inbound if now - x.last_used_at > INBOUND_IDLE_S]:
             inbound_link.close()
 
     def close(self) -> None:
@@ -271,4 +289,4 @@
 
 
 def _frame(data: bytes) -> bytes:
-    return len(data).to_bytes(4, "big") + data
+    return len(data).to_bytes(LENGTH_BYTES, "big") + data
--- a/gateway/runtime/ticker.py
+++ b/gateway/runtime/ticker.py
@@ -12,34 +12,34 @@
 
 
 class Ticker:
-    """Calls `call(now)` every `period` seconds, the first time after `first` (else `period`) seconds.
+    """Calls `call(now)` every `period_s` seconds, the first time after `first_after_s` (else `period_s`).
 
     `now` is `clock.steady()`. An exception in a call is logged as an error, and later calls are still made.
     Several calls that came due while the loop was blocked are made as one.
     """
 
-    __slots__ = ("call", "due", "handle", "loop", "period")
+    __slots__ = ("call", "due_at", "handle", "loop", "period_s")
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        period: float,
+        period_s: float,
         call: Callable[[float], object],
-        first: float | None = None,
+        first_after_s: float | None = None,
     ) -> None:
         self.loop = loop
-        self.period = period
+        self.period_s = period_s
         self.call = call
-        self.due = loop.time() + (period if first is None else first)
-        self.handle: asyncio.TimerHandle | None = loop.call_at(self.due, self._tick)
+        self.due_at = loop.time() + (period_s if first_after_s is None else first_after_s)
+        self.handle: asyncio.TimerHandle | None = loop.call_at(self.due_at, self._tick)
 
     def _tick(self) -> None:
-        self.due = max(self.due + self.period, self.loop.time())
-        self.handle = self.loop.call_at(self.due, self._tick)
+        self.due_at = max(self.due_at + self.period_s, self.loop.time())
+        self.handle = self.loop.call_at(self.due_at, self._tick)
         try:
             self.call(steady())
         except Exception:
-            log.exception("a call every %s s failed", self.period)
+            log.exception("periodic call failed (period %s s)", self.period_s)
 
     def stop(self) -> None:
         """Make no more calls."""
--- a/tests/gateway/programs/test_control_api.py
+++ b/tests/gateway/programs/test_control_api.py
@@ -132,9 +132,9 @@
 
     async def held_back(self, what: str, method: str, path: str, body: bytes = b"") -> asyncio.Task[int]:
         """A call that has come and has no answer yet."""
-        before = len(self.http_listener.calls.open)
+        before = len(self.http_listener.call_handler.pending)
         client = await self.send(method, path, body)
-        await until(lambda: len(self.http_listener.calls.open) > before)
+        await until(lambda: len(self.http_listener.call_handler.pending) > before)
         return self.loop.create_task(self.hear(client, f"{method} {path} {what}"))
 
 
--- a/tests/gateway/runtime/test_runtime_parts.py
+++ b/tests/gateway/runtime/test_runtime_parts.py
@@ -54,10 +54,10 @@
     assert ring_fixture.lines() == []
     ring_fixture.now += 0.2
     ring_fixture.log.info("after")
-    assert ring_fixture.lines() == ["spilled: odd", "after"]
+    assert ring_fixture.lines() == ["log ring dumped: odd", "after"]
     ring_fixture.ring.dump("the end")
     ring_fixture.ring.flush()
-    assert ring_fixture.lines() == ["spilled: the end"]
+    assert ring_fixture.lines() == ["log ring dumped: the end"]
 
 
 def test_a_few_warnings_a_second_are_written_at_once() -> None:
@@ -141,7 +141,7 @@
         disk.thread.write(token, record)
     assert disk.thread.stalled_for(13.5) == 3.5 and disk.told == []
     for now in (10.9, 11.1, 11.2):
-        disk.thread.look(now)
+        disk.thread.check_stall(now)
     disk.go.release()
     disk.loop.turn()
     assert disk.told == [1] and disk.saved == ["one"]
@@ -149,8 +149,8 @@
     disk.loop.turn()
     assert disk.told == [1, 2, 3, 4] and disk.saved == ["one", "four"]
     assert disk.thread.stop(5) and disk.thread.stalled_for(20.0) == 0.0
-    disk.thread.look(20.0)
-    assert caplog.messages == ["the disk hangs: nothing is saved for 1.1 s", "the disk goes on"]
+    disk.thread.check_stall(20.0)
+    assert caplog.messages == ["disk stalled: the running save has taken 1.1 s", "disk no longer stalled"]
 
 
 def test_a_save_that_fails_is_told_and_the_next_one_is_tried() -> None:
@@ -216,7 +216,7 @@
         raise ValueError("wrong")
 
     fake: Any = loop
-    Ticker(fake, 1.0, call, first=0.25)
+    Ticker(fake, 1.0, call, first_after_s=0.25)
     for loop.now in (0.25, 1.25, 7.5, 7.5, 8.5):
         when, tick = loop.timers[-1]
         if loop.now >= when:
--- a/tests/gateway/runtime/test_transport.py
+++ b/tests/gateway/runtime/test_transport.py
@@ -91,7 +91,7 @@
         assert len(a.port.links.outbound) == len(b.port.links.inbound) == 1
         out, come = a.port.counts[1], b.port.counts[1]
         assert (out.messages_out, out.bytes_out) == (come.messages_in, come.bytes_in)
-        assert not a.port.bad and not b.port.bad
+        assert not a.port.dropped and not b.port.dropped
 
     with_two(story, loops)
 
@@ -114,14 +114,14 @@
         a.port.send(b.port.address, 1, FakeMessage(b"x" * tcp_links.MAX_QUEUED_BYTES))
         a.port.send(b.port.address, 1, FakeMessage(b"still here"))
         assert await b.next() == (a.port.address, b"still here")
-        assert b.port.bad == {
+        assert b.port.dropped == {
             "unknown plane": 3,
             "unknown version": 1,
             "unreadable": 1,
             "too long": 1,
             "no address": 1,
         }
-        assert a.port.bad == {"no address": 1, "too long": 1}
+        assert a.port.dropped == {"no address": 1, "too long": 1}
 
     with_two(story, loops)
 
@@ -137,7 +137,7 @@
         a.port.send(b.port.address, 1, FakeMessage(b"y" * 2000))
         while a.port.links.opening:
             await asyncio.sleep(0)
-        assert a.port.bad == {"no connection": 1, "link is gone": 1}
+        assert a.port.dropped == {"no connection": 1, "link is gone": 1}
         again = await End(b.port.address).open()
         a.port.send(b.port.address, 1, FakeMessage(b"z" * 2000))
         assert await again.next() == (a.port.address, b"z" * 2000)
@@ -163,7 +163,7 @@
             async with asyncio.timeout(5):
                 while a.port.links.outbound or b.port.links.inbound:
                     await asyncio.sleep(0)
-        assert not b.port.bad
+        assert not b.port.dropped
 
     with_two(story, loops)
 
@@ -173,7 +173,7 @@
         for letter in b"abcdef":
             a.port.send(b.port.address, 1, FakeMessage(bytes([letter]) * (1 << 20)))
         assert [(await b.next())[1][:1] for _ in range(3)] == [b"d", b"e", b"f"]
-        assert a.port.bad == {"link is full": 3}
+        assert a.port.dropped == {"link is full": 3}
 
     with_two(story, uvloop.new_event_loop)
 
@@ -184,7 +184,7 @@
         await b.next()
         a.port.links.sweep()
         (link,) = a.port.links.outbound.values()
-        link.used -= tcp_links.OUTBOUND_IDLE_S + 1
+        link.last_used_at -= tcp_links.OUTBOUND_IDLE_S + 1
         a.port.links.sweep()
         assert not a.port.links.outbound
         while b.port.links.inbound:
@@ -209,7 +209,7 @@
                     sender.port.send(receiver.port.address, 1, FakeMessage(letter * 2000))
                     assert await receiver.next() == (sender.port.address, letter * 2000)
                     assert len(sender.port.links.outbound) <= 3
-            assert not sender.port.bad
+            assert not sender.port.dropped
         finally:
             for end in (sender, *receivers):
                 end.port.close()
@@ -227,7 +227,7 @@
         a.port.send(b.port.address, 1, FakeMessage(b"x" * 2000))  # not connected yet
         a.port.send(free(), 1, FakeMessage(b"y" * 2000))
         assert await b.next() == (a.port.address, b"x" * 2000)
-        assert a.port.bad == {"too many links": 1}
+        assert a.port.dropped == {"too many links": 1}
 
     with_two(story, uvloop.new_event_loop)
 
@@ -244,11 +244,11 @@
         await b.next()
         third.port.send(b.port.address, 1, FakeMessage(b"y" * 2000))
         async with asyncio.timeout(5):
-            while not b.port.bad:  # the link that is in use stays
+            while not b.port.dropped:  # the link that is in use stays
                 await asyncio.sleep(0)
-        assert b.port.bad == {"too many links": 1}
+        assert b.port.dropped == {"too many links": 1}
         (link,) = b.port.links.inbound
-        link.used -= tcp_links.EVICTABLE_AFTER_S
+        link.last_used_at -= tcp_links.EVICTABLE_AFTER_S
         async with asyncio.timeout(5):
             while third.port.links.outbound:
                 await asyncio.sleep(0)
