--- a/gateway/programs/proxy_node.py
+++ b/gateway/programs/proxy_node.py
@@ -195,7 +195,7 @@
     def on_value(self, value: membership_outputs.ValueUpdated) -> None:
         """A published value: the list of proxies, the shard map, or a configuration."""
         if value.kind == ValueKind.INGRESSES:
-            self.ingress.proxy_peers(self.me, self.zone, decode_ingresses(value.data))
+            self.ingress.set_peers(self.me, self.zone, decode_ingresses(value.data))
         elif value.kind == ValueKind.SHARD_MAP:
             self.handle_quota(quota_events.ShardMapReceived(value.data))
         elif value.kind == ValueKind.CONFIG:
--- a/gateway/proxy/ingress.py
+++ b/gateway/proxy/ingress.py
@@ -1,16 +1,23 @@
-"""The gateway's HTTP protocol towards clients and backends, on the shared ingress of `ingress.net`."""
+"""The gateway's HTTP protocol towards clients and backends, on the shared ingress of `ingress.net`.
+
+Methods that override those of `ingress.net.ingress.Ingress` have its names.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import math
 from collections.abc import Callable, Sequence
+from http import HTTPStatus
 from time import monotonic
-from typing import Any
 
 from gateway.config.routing import CompiledConfig, Route, RouteDecision, key_of
-from gateway.proxy.decisions import Backends, Decisions, OverQuota, ProxyPeers, QuotaEvent, RequestContext
+from gateway.proxy.decisions import Decisions
+from gateway.proxy.events import BackendsChanged, PeersChanged, QuotaEvent
 from gateway.proxy.execution_status import ExecutionStatus
+from gateway.proxy.outputs import Output, RejectOverQuota
+from gateway.proxy.request_context import RequestContext
+from gateway.quota import events as quota_events
 from gateway.state_machine import Send
 from ingress import interface as io
 from ingress.net.connection_interfaces import ImmediateResponse
@@ -21,8 +28,9 @@
 from ingress.net.service_protocol import read_number
 from ingress.net.upstream import Upstream
 
+# Response headers that aren't passed on to clients.
 DROPPED_RESPONSE_HEADERS = frozenset(
-    (  # response headers that aren't passed on to clients
+    (
         b"connection",
         b"keep-alive",
         b"proxy-connection",
@@ -36,21 +44,32 @@
         b"instance-id",
     )
 )
-SINGLETON_HEADERS = frozenset(
-    (b"host", b"attempt-id", b"authorization", b"deadline-ms")
-)  # request headers that may occur only once
+# Request headers that may occur only once.
+SINGLETON_HEADERS = frozenset((b"host", b"attempt-id", b"authorization", b"deadline-ms"))
 NOT_EXECUTED_STATUSES = (503, 429, 400)  # with which a backend may say that it hasn't executed a request
-NEVER_RAN_STATUSES = (
-    503,
-    429,
-    408,
-    421,
-)  # statuses that promise to a client that its request never ran: only this ingress itself may give them
+# Statuses that promise to a client that its request never ran: only this ingress itself may give them.
+NEVER_RAN_STATUSES = (503, 429, 408, 421)
+LOAD_FIELDS = 3  # of the header `Backend-Load`
 TIMER_SLACK_S = 0.02  # by which a timer may be early by the event loop's clock
-RETRY_SOON = b"Retry-After: 0.3\r\n"
+RETRY_AFTER_HEADER = b"Retry-After: 0.3\r\n"
 MAX_DEADLINE_S = 3600.0
+MIN_RETRY_AFTER_S = 0.05
+MIN_QUOTA_RETRY_AFTER_S = 0.01
 LATE_RATIO = 0.8  # of its target latency, after which a retry is late, as it still takes some time itself
-PATIENCE_DECAY = 0.01  # by which the longest time seen moves towards each shorter one
+TIMEOUT_DECAY = 0.01  # by which the longest timeout seen moves towards each shorter one
+
+
+def read_singletons(headers: list[tuple[bytes, bytes]]) -> dict[bytes, bytes] | ImmediateResponse:
+    """The values of `SINGLETON_HEADERS` by lower case name; a response with 400 if one occurs twice."""
+    values: dict[bytes, bytes] = {}
+    for name, value in headers:
+        name = name.lower()
+        if name not in SINGLETON_HEADERS:
+            continue
+        if name in values:  # a backend might take the other one, and so another request
+            return ImmediateResponse(HTTPStatus.BAD_REQUEST, f"{name.decode()}: more than one", close=True)
+        values[name] = value
+    return values
 
 
 class ProxyIngress(Ingress):
@@ -69,21 +88,22 @@
         decisions: Decisions,
         upstream: Upstream,
         send: Callable[[Send], None],
-        steady: Callable[[], float] = monotonic,
+        clock: Callable[[], float] = monotonic,
     ) -> None:
-        super().__init__(loop, terms, decisions, upstream)
+        # These decisions handle and return more than the base class's own events and actions.
+        super().__init__(loop, terms, decisions, upstream)  # type: ignore[arg-type]
         self.send = send
-        self.steady = steady
+        self.steady_clock = clock
         self.refusals = decisions.refusals
         self.movable = decisions.movable
         self.compiled_config: CompiledConfig | None = None
-        self.patience: dict[str, float] = {}  # by route: seconds that clients give a first try
+        self.first_timeouts: dict[str, float] = {}  # by route: seconds that clients give a first attempt
         self.inspect: Callable[[bytes, bytes, bytes, RouteDecision], RouteDecision | None] | None = None
         self.services: dict[str, str] = {}  # of known backends: the service's name by backend
 
     def now(self) -> float:
         """Seconds of a steady clock: nothing here has to agree with the clocks of other nodes."""
-        return self.steady()
+        return self.steady_clock()
 
     # Requests of clients.
 
@@ -93,66 +113,64 @@
         """Match a request and its key against the configuration; answer at once if it is not allowed."""
         if self.compiled_config is None:
             self.refusals.count(self.now(), "no configuration")
-            return ImmediateResponse(503, "no configuration yet", lines=RETRY_SOON)
-        told: dict[bytes, bytes] = {}
-        for field, value in headers:
-            field = field.lower()
-            if field in SINGLETON_HEADERS:
-                if field in told:  # a reader of the other one would take it for another request
-                    return ImmediateResponse(400, f"{field.decode()}: more than one", close=True)
-                told[field] = value
-        host = told.get(b"host", b"")
-        name = told.get(b"attempt-id", b"")
-        key = key_of(told.get(b"authorization", b""))
-        patience = read_number(told[b"deadline-ms"]) / 1000 if b"deadline-ms" in told else MAX_DEADLINE_S
+            return ImmediateResponse(503, "no configuration yet", lines=RETRY_AFTER_HEADER)
+        singletons = read_singletons(headers)
+        if isinstance(singletons, ImmediateResponse):
+            return singletons
+        host = singletons.get(b"host", b"")
+        name = singletons.get(b"attempt-id", b"")
+        key = key_of(singletons.get(b"authorization", b""))
+        deadline_ms = singletons.get(b"deadline-ms")
+        timeout_s = MAX_DEADLINE_S if deadline_ms is None else read_number(deadline_ms) / 1000
         route_decision = self.compiled_config.resolve_request(host, url, key)
         if self.inspect is not None:
-            seen = self.inspect(host, url, key, route_decision)
-            if seen is None:
+            inspected = self.inspect(host, url, key, route_decision)
+            if inspected is None:
                 self.refusals.count(self.now(), "newer configuration awaited")
-                return ImmediateResponse(503, "a newer configuration is awaited", lines=RETRY_SOON)
-            route_decision = seen
-        if route_decision.status != 200 or route_decision.route is None:
-            return ImmediateResponse(
-                route_decision.status, "no such route" if route_decision.status == 404 else "unknown key"
-            )
+                return ImmediateResponse(503, "a newer configuration is awaited", lines=RETRY_AFTER_HEADER)
+            route_decision = inspected
+        if route_decision.status != HTTPStatus.OK or route_decision.route is None:
+            is_unknown_route = route_decision.status == HTTPStatus.NOT_FOUND
+            reason = "no such route" if is_unknown_route else "unknown key"
+            return ImmediateResponse(route_decision.status, reason)
         if not name or not name.isascii():
             return ImmediateResponse(400, "attempt-id: missing", close=True)
         route = route_decision.route
         tenant = route_decision.tenant
         self.effects[route.label] = io.Effect.SAFE if route.safe else io.Effect.UNSAFE
         self.aims[route.label] = route.target_latency
+        is_late = self.late(route, timeout_s)
         return io.Request(
             name.decode(),
             route.label,
             tenant.label if tenant else "",
             0,
-            min(patience, route.deadline, MAX_DEADLINE_S),
+            min(timeout_s, route.deadline, MAX_DEADLINE_S),
             1.0,
-            about=RequestContext(route, tenant, route_decision.precedence, self.late(route, patience)),
+            about=RequestContext(route, tenant, route_decision.precedence, is_late),
         )
 
-    def late(self, route: Route, patience: float) -> bool:
+    def late(self, route: Route, timeout_s: float) -> bool:
         """Whether an attempt comes too long after its request's first one to meet the target latency.
 
-        Clients send what is left of their time (`patience`, in seconds); the longest one seen lately is taken
-        as that of a first attempt.
+        Clients send what is left of their time (`timeout_s`); the longest one seen lately is taken as that of
+        a first attempt.
         """
-        first = self.patience.get(route.label, patience)
-        first = max(patience, first - PATIENCE_DECAY * (first - patience))
-        self.patience[route.label] = first
-        return first - patience > LATE_RATIO * route.target_latency
+        first = self.first_timeouts.get(route.label, timeout_s)
+        first = max(timeout_s, first - TIMEOUT_DECAY * (first - timeout_s))
+        self.first_timeouts[route.label] = first
+        return first - timeout_s > LATE_RATIO * route.target_latency
 
     # Requests to backends, and their responses.
 
-    def message(self, call: ClientRequest, backend: str, patience: float) -> bytes:
+    def message(self, call: ClientRequest, backend: str, timeout_s: float) -> bytes:
         """The request as sent to a backend: for this instance only, with its tenant's label, and with
-        `patience`, in seconds, as its deadline."""
+        `timeout_s` as its deadline."""
         plan = call.request.plan
         tenant = b"Tenant: %s\r\n" % plan.encode() if plan else b""
         return call.message(
             b"%sTarget-Instance: %s\r\nDeadline-Ms: %d\r\n"
-            % (tenant, backend.encode(), max(1, int(1000 * patience)))
+            % (tenant, backend.encode(), max(1, int(1000 * timeout_s)))
         )
 
     def outcome(self, call: ClientRequest, answer: Response) -> io.Outcome | None:
@@ -161,25 +179,18 @@
         Only a response that says so was not executed; a success needs its seal, and every response the
         request's attempt id, which only a 421 or a not-executed one may lack.
         """
-        name = answer.headers.get(b"attempt-id")
-        ours = name is not None and name == call.request.id.encode()
-        if answer.status == 421 and (ours or name is None):
+        attempt_id = answer.headers.get(b"attempt-id")
+        is_matching = attempt_id == call.request.id.encode()
+        may_match = is_matching or attempt_id is None
+        if answer.status == HTTPStatus.MISDIRECTED_REQUEST and may_match:
             return io.Outcome.CONNECT_FAILED  # another instance has this address now
-        if (
-            answer.status in NOT_EXECUTED_STATUSES
-            and b"not-executed" in answer.headers
-            and (ours or name is None)
-        ):
+        if answer.status in NOT_EXECUTED_STATUSES and b"not-executed" in answer.headers and may_match:
             return io.Outcome.FULL
-        if not ours:
+        if not is_matching:
             return None
-        if (
-            answer.status >= 500
-            or answer.status in NEVER_RAN_STATUSES
-            or (answer.status < 300 and b"backend-seal" not in answer.headers)
-        ):
-            return io.Outcome.ERROR
-        return io.Outcome.OK
+        is_failure = answer.status >= 500 or answer.status in NEVER_RAN_STATUSES
+        is_unsealed_success = answer.status < 300 and b"backend-seal" not in answer.headers
+        return io.Outcome.ERROR if is_failure or is_unsealed_success else io.Outcome.OK
 
     def lines(self, answer: Response) -> bytes:
         """All response headers except hop-by-hop ones and those that concern only the backend."""
@@ -192,13 +203,14 @@
     def load(self, answer: Response | None) -> dict[str, float]:
         """The load by the header `Backend-Load`: requests running, requests waiting, slots. Empty unless it
         has these three parts."""
-        told = answer.headers.get(b"backend-load") if answer is not None else None
-        if not told:
+        header = answer.headers.get(b"backend-load") if answer is not None else None
+        if not header:
             return {}
-        parts = [read_number(part) for part in told.split(b",")]
-        if len(parts) != 3:
+        parts = [read_number(part) for part in header.split(b",")]
+        if len(parts) != LOAD_FIELDS:
             return {}
-        return {"inflight": parts[0] + parts[1], "slots": parts[2]}
+        running, waiting, slots = parts
+        return {"inflight": running + waiting, "slots": slots}
 
     # Final answers.
 
@@ -228,8 +240,8 @@
     def answer(self, held: PendingRequest, status: int, lines: bytes = b"", body: bytes = b"") -> None:
         """Give the one final answer. A 408 for a request body that stalls becomes a 400 if a part of the body
         may have been sent to a backend, as then nothing can be promised."""
-        stopped = status == 408 and not self.may_refuse(held)
-        super().answer(held, 400 if stopped else status, lines, body)
+        may_have_run = status == HTTPStatus.REQUEST_TIMEOUT and not self.may_refuse(held)
+        super().answer(held, HTTPStatus.BAD_REQUEST if may_have_run else status, lines, body)
 
     def finish(self, name: str, refused: bool, wait: float) -> None:
         """Give the final answer: a refusal with a time to retry (`wait`, in seconds) if the request never
@@ -238,37 +250,49 @@
         if held is None:
             return
         if refused and self.execution_status(held).allows_refusal:
-            self.answer(held, 503, b"Retry-After: %.3f\r\n" % max(wait, 0.05))
+            self.answer(held, 503, b"Retry-After: %.3f\r\n" % max(wait, MIN_RETRY_AFTER_S))
         elif (last := held.last) is not None and last.status >= 500 and last.status not in NEVER_RAN_STATUSES:
             self.answer(held, last.status, self.lines(last), last.body)
         else:
             self.answer(held, 504 if self.loop.time() >= held.deadline - TIMER_SLACK_S else 502)
 
-    def carry_out(self, a: Any) -> None:
-        """Carry out an action of the decisions."""
-        if isinstance(a, Send):
-            self.send(a)
-        elif isinstance(a, OverQuota):
-            held = self.held.get(a.request)
-            if held is not None:
-                held.attempt_history.append((self.loop.time(), a.why))
-                self.answer(held, 429, b"Retry-After: %.3f\r\n" % max(a.wait, 0.01))
-        else:
-            if isinstance(a, io.Refuse) and (held := self.held.get(a.request)) is not None:
-                held.attempt_history.append((self.loop.time(), a.why))
-            super().carry_out(a)
+    def carry_out(self, a: Output) -> None:
+        """Carry out an output of the decisions."""
+        match a:
+            case Send():
+                self.send(a)
+            case RejectOverQuota():
+                self._reject_over_quota(a)
+            case io.Refuse():
+                self._record_refusal(a.request, a.why)
+                super().carry_out(a)
+            case _:
+                super().carry_out(a)
+
+    def _reject_over_quota(self, output: RejectOverQuota) -> None:
+        held = self._record_refusal(output.request_id, output.reason)
+        if held is not None:
+            retry_after_s = max(output.retry_after_s, MIN_QUOTA_RETRY_AFTER_S)
+            self.answer(held, HTTPStatus.TOO_MANY_REQUESTS, b"Retry-After: %.3f\r\n" % retry_after_s)
+
+    def _record_refusal(self, request_id: str, reason: str) -> PendingRequest | None:
+        """Note the reason of a refusal in the request's history; the request, if it is still pending."""
+        held = self.held.get(request_id)
+        if held is not None:
+            held.attempt_history.append((self.loop.time(), reason))
+        return held
 
     # Events of the other planes.
 
-    def handle_quota(self, item: Any) -> None:
-        """Pass an input to the quota client's state machine."""
-        self.submit(QuotaEvent(item))  # type: ignore[arg-type]
+    def handle_quota(self, event: quota_events.ClientEvent) -> None:
+        """Pass an event to the quota client's state machine."""
+        self.submit(QuotaEvent(event))  # type: ignore[arg-type]
 
-    def proxy_peers(self, me: str, zone: int, ingresses: Sequence[tuple[int, str]]) -> None:
+    def set_peers(self, me: str, zone: int, ingresses: Sequence[tuple[int, str]]) -> None:
         """Set the zone number and address of all ingresses; this one (`me`) may not be among them yet."""
-        zone_peers = [address for its, address in ingresses if its == zone]
-        place = zone_peers.index(me) if me in zone_peers else -1
-        self.submit(ProxyPeers(len(ingresses), place, len(zone_peers)))  # type: ignore[arg-type]
+        in_zone = [address for ingress_zone, address in ingresses if ingress_zone == zone]
+        index_in_zone = in_zone.index(me) if me in in_zone else -1
+        self.submit(PeersChanged(len(ingresses), index_in_zone, len(in_zone)))  # type: ignore[arg-type]
 
     def backend(
         self,
@@ -276,12 +300,12 @@
         service: str,
         address: Address,
         phase: io.Phase,
-        cold_left: float,
+        slow_start_left_s: float,
         capacity: int = 1,
         zone: str = "",
     ) -> None:
         """A backend was added, changed or removed (`phase`); its old connections are closed before anything
-        new may be sent. `cold_left` is the rest of its slow start in seconds."""
+        new may be sent. `slow_start_left_s` is the rest of its slow start."""
         if phase is io.Phase.DELETED:
             service = self.services.pop(name, service)
             self.upstream.update(name, None)
@@ -294,6 +318,7 @@
             else:
                 self.serving.discard(name)
                 self.upstream.close_idle(name)
-        born = self.now() + cold_left - self.settings.cold_time if cold_left > 0 else 0.0
+        is_starting = slow_start_left_s > 0
+        born = self.now() + slow_start_left_s - self.settings.cold_time if is_starting else 0.0
         entry = io.BackendEntry(name, phase, float(capacity), born=born, zone=zone)
-        self.submit(Backends(service, (entry,)))  # type: ignore[arg-type]
+        self.submit(BackendsChanged(service, (entry,)))  # type: ignore[arg-type]
--- /dev/null
+++ b/gateway/proxy/outputs.py
@@ -0,0 +1,22 @@
+"""Outputs of `Decisions` besides those of `ingress.interface`."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from gateway.state_machine import Send
+from ingress import interface as io
+
+
+class RejectOverQuota(NamedTuple):
+    """Answer a request with 429, as its tenant is over its allowance; `reason` is for the log.
+
+    `retry_after_s` is the time until the tenant has units again.
+    """
+
+    request_id: str
+    retry_after_s: float
+    reason: str = ""
+
+
+Output = io.Action | Send | RejectOverQuota
--- a/gateway/proxy/refusals.py
+++ b/gateway/proxy/refusals.py
@@ -7,9 +7,9 @@
 
 from gateway.quota.outputs import OVER_ALLOWANCE
 
-# requests of one second refused for other causes than their allowance: at least so many, and of all
+# A second is a warning with so many requests refused for other causes than their allowance,
 WARNING_MIN_COUNT = 5
-WARNING_MIN_RATIO = 0.25
+WARNING_MIN_RATIO = 0.25  # and so many of all requests
 
 log = logging.getLogger("gateway.proxy.refusals")
 
@@ -29,24 +29,21 @@
         self.roll_over(now)
         self.requests += 1
 
-    def count(self, now: float, why: str) -> None:
+    def count(self, now: float, reason: str) -> None:
         """Count a refused request, by cause."""
         self.roll_over(now)
-        self.causes[why] += 1
+        self.causes[reason] += 1
 
     def roll_over(self, now: float) -> None:
         """Log the second that has ended, at the first event after it."""
         if now < self.until:
             return
         if self.causes:
-            bad = self.causes.total() - self.causes[OVER_ALLOWANCE]
-            level = (
-                logging.WARNING
-                if bad >= max(WARNING_MIN_COUNT, WARNING_MIN_RATIO * self.requests)
-                else logging.INFO
-            )
-            told = ", ".join(f"{why} {n}" for why, n in sorted(self.causes.items()) if n)
-            log.log(level, "of %d requests in a second turned back: %s", self.requests, told)
+            own_refusals = self.causes.total() - self.causes[OVER_ALLOWANCE]
+            is_many = own_refusals >= max(WARNING_MIN_COUNT, WARNING_MIN_RATIO * self.requests)
+            level = logging.WARNING if is_many else logging.INFO
+            causes = ", ".join(f"{cause} {n}" for cause, n in sorted(self.causes.items()) if n)
+            log.log(level, "of %d requests in a second rejected: %s", self.requests, causes)
             self.causes.clear()
         self.requests = 0
         self.until = now + 1.0
--- a/gateway/proxy/retry_budget.py
+++ b/gateway/proxy/retry_budget.py
@@ -4,13 +4,23 @@
 
 from collections import deque
 
-SHRINK_DELAY_S = (
-    60.0  # until a lower number of ingresses is accepted: the others may just be unreachable until then
-)
-GROWTH_SETTLE_S = (
-    1.0  # without an increase, until the number of ingresses is accepted and the slack divided by it
-)
+# Until a lower number of ingresses is accepted: the others may just be unreachable until then.
+SHRINK_DELAY_S = 60.0
+# Without an increase, until the number of ingresses is accepted and the slack divided by it.
+GROWTH_SETTLE_S = 1.0
 SAFETY_FACTOR = 0.7  # of the allowed ratio that is used, as the other ingresses count by their own clocks
+USABLE_SLACK = 0.5  # of this process's part of the slack: its predecessor may have spent the rest
+
+
+class SecondCounts:
+    """The attempts of one second."""
+
+    __slots__ = ("requests", "retries", "second")
+
+    def __init__(self, second: int) -> None:
+        self.second = second
+        self.requests = 0
+        self.retries = 0
 
 
 class RetryBudget:
@@ -28,7 +38,7 @@
         "window",
         "seconds",
         "requests",
-        "repeats",
+        "retries",
         "ingresses",
         "shared_at",
         "grown_at",
@@ -36,14 +46,14 @@
 
     def __init__(self, ratio: float, slack: float, window: float, ingresses: int) -> None:
         self.ratio = SAFETY_FACTOR * ratio
-        self.slack = slack / 2
+        self.slack = USABLE_SLACK * slack
         self.window = window
         self.ingresses = ingresses
         self.shared_at: float | None = None
         self.grown_at = float("inf")
-        self.seconds: deque[list[float]] = deque()  # second, requests, repeats
-        self.requests = 0.0
-        self.repeats = 0.0
+        self.seconds: deque[SecondCounts] = deque()  # those in the window, with any attempts
+        self.requests = 0
+        self.retries = 0
 
     def share_among(self, now: float, ingresses: int) -> None:
         """Divide the slack among this number of ingresses: a higher number counts at once, a lower one only
@@ -57,26 +67,27 @@
             self.ingresses = ingresses
             self.shared_at = now
 
-    def count(self, now: float, repeat: bool) -> None:
-        """Count an attempt: a request's first one, or a retry (`repeat`)."""
-        self._forget(now)
-        second = float(int(now))
-        if not self.seconds or self.seconds[-1][0] != second:
-            self.seconds.append([second, 0.0, 0.0])
-        self.seconds[-1][2 if repeat else 1] += 1
-        if repeat:
-            self.repeats += 1
+    def count(self, now: float, is_retry: bool) -> None:
+        """Count an attempt: a request's first one, or a retry."""
+        self._expire(now)
+        second = int(now)
+        if not self.seconds or self.seconds[-1].second != second:
+            self.seconds.append(SecondCounts(second))
+        if is_retry:
+            self.seconds[-1].retries += 1
+            self.retries += 1
         else:
+            self.seconds[-1].requests += 1
             self.requests += 1
 
     def allows(self, now: float) -> bool:
         """Whether one more retry stays within the budget."""
-        self._forget(now)
+        self._expire(now)
         slack = self.slack / self.ingresses if now >= self.grown_at + GROWTH_SETTLE_S else 0.0
-        return self.repeats + 1 <= self.ratio * self.requests + slack
+        return self.retries + 1 <= self.ratio * self.requests + slack
 
-    def _forget(self, now: float) -> None:
-        while self.seconds and self.seconds[0][0] < now - self.window - 1:
-            _, requests, repeats = self.seconds.popleft()
-            self.requests -= requests
-            self.repeats -= repeats
+    def _expire(self, now: float) -> None:
+        while self.seconds and self.seconds[0].second < now - self.window - 1:
+            expired = self.seconds.popleft()
+            self.requests -= expired.requests
+            self.retries -= expired.retries
--- a/gateway/proxy/service.py
+++ b/gateway/proxy/service.py
@@ -1,14 +1,17 @@
-"""One service's backends at one ingress: load balancing by `Routing`, with the routes' own parameters."""
+"""One service's backends at one ingress: load balancing by `Routing`, with the routes' own parameters.
+
+Methods that override those of `Routing` have its names.
+"""
 
 from __future__ import annotations
 
 import bisect
-import math
 import random
 import zlib
 from collections.abc import Callable
 
 from gateway.config.routing import Route
+from gateway.proxy.foreign_load import ForeignLoad, expected_queue
 from gateway.proxy.retry_budget import RetryBudget
 from ingress import interface as io
 from ingress.concurrency_limit import INITIAL_SLOTS
@@ -17,23 +20,18 @@
 from ingress.routing import Routing
 
 INITIAL_LATENCY_RATIO = 0.3  # of its target latency: the assumed latency of a route before the first response
-# duration of a backend's slow start, and its relative capacity then
-COLD_S = 3.0
-COLD_CAPACITY = 0.5
+SLOW_START_S = 3.0  # duration of a backend's slow start,
+SLOW_START_CAPACITY = 0.5  # and its relative capacity at its beginning
 MAX_REJECTION_KEYS = 512  # tenants and routes whose rejection rates at backends are kept
-# time constants: of a reported load going back to the mean, and of that going back to the usual one
-LOAD_FRESH_S = 0.15
-LOAD_STALE_S = 8.0
-MEAN_STEP = 0.2
-USUAL_STEP = 0.02
-WORK_STEP = 0.02
-RATIO_STEP = 0.05
-# seconds; highest ratio of the mean work to a route's own
-USUAL_WORK = 0.15
-MAX_FOREIGN_WORK = 6.0
-# cost factors of a backend that isn't one of this ingress's own, and of one in another zone
-FOREIGN_BACKEND_COST = 1.15
-REMOTE_ZONE_COST = 1.1
+USUAL_LOAD_STEP = 0.02  # by which a report moves the usual load of others,
+WORK_STEP = 0.02  # and an attempt's duration the mean work of a request
+LATENCY_RATIO_STEP = 0.05  # by which an attempt moves a backend's slowness
+INITIAL_WORK_S = 0.15  # the assumed mean work of a request
+INITIAL_FOREIGN_LOAD = 0.3  # the assumed mean requests of others at a backend
+MAX_WORK_RATIO = 6.0  # of the mean work to a route's own
+FOREIGN_BACKEND_COST = 1.15  # cost factor of a backend that isn't one of this ingress's own,
+REMOTE_ZONE_COST = 1.1  # and of one in another zone
+MAX_ATTEMPTS = 16  # of one request, whatever its route allows
 SWEEP_INTERVAL_S = 0.05  # between checks of silent backends and queued requests
 
 
@@ -44,9 +42,9 @@
         plans=(io.PlanSettings("", 0.0, 0.0),),
         instances=max(1, ingresses),
         may_cancel=True,
-        max_attempts=16,
-        start_capacity=COLD_CAPACITY,
-        cold_time=COLD_S,
+        max_attempts=MAX_ATTEMPTS,
+        start_capacity=SLOW_START_CAPACITY,
+        cold_time=SLOW_START_S,
         zone=zone,
         connect_timeout=connect_timeout,
         load_in_answers=True,
@@ -60,41 +58,8 @@
     return io.ClassSettings(route.label, effect, objective=route.deadline, deadline=route.deadline)
 
 
-class ForeignLoad:
-    """The load of other ingresses at a backend, as reported in its responses."""
-
-    __slots__ = ("mean", "told", "at")
-
-    def __init__(self, mean: float) -> None:
-        self.mean = mean
-        self.told = mean
-        self.at = 0.0
-
-    def tell(self, now: float, told: float) -> None:
-        """Take a reported number of requests of other ingresses."""
-        self.told = told
-        self.at = now
-        self.mean += MEAN_STEP * (told - self.mean)
-
-    def expect(self, now: float, usual_foreign_load: float) -> float:
-        """The expected number now: the last report decays towards the backend's mean, and that towards
-        `usual_foreign_load`, the one of all backends."""
-        age = now - self.at
-        mean = usual_foreign_load + (self.mean - usual_foreign_load) * math.exp(-age / LOAD_STALE_S)
-        return mean + (self.told - mean) * math.exp(-age / LOAD_FRESH_S)
-
-
-def expected_queue(own: int, foreign: float, slots: int) -> float:
-    """The expected number of requests queued before one more, with `own` requests of this ingress and a
-    Poisson distributed number of others, of mean `foreign`."""
-    room = slots - 1 - own
-    over = foreign - room
-    if room > 0:
-        chance = math.exp(-foreign)
-        for n in range(room):
-            over += (room - n) * chance
-            chance *= foreign / (n + 1)
-    return max(0.0, over)
+GiveUp = Callable[[float, ActiveRequest, float], None]
+"""Called with the time, a request that can't be served, and the seconds after which a client may retry."""
 
 
 class RejectionRates(dict[str, float]):
@@ -105,8 +70,7 @@
 
 
 class Service(Routing):
-    """The backends of one service, and the requests to it. `give_up` is called with the time, a request that
-    can't be served, and the seconds after which a client may retry."""
+    """The backends of one service, and the requests to it."""
 
     def __init__(
         self,
@@ -115,18 +79,20 @@
         budget: RetryBudget,
         rng: random.Random,
         now: float,
-        give_up: Callable[[float, ActiveRequest, float], None],
+        give_up: GiveUp,
     ) -> None:
         super().__init__(terms, (), (), rng, now)
         self.rejection_share = RejectionRates()
         self.name = name
         self.budget = budget
         self.give_up = give_up
-        self.others: dict[str, ForeignLoad] = {}
-        self.step = RATIO_STEP
-        self.work = USUAL_WORK  # mean seconds of work of any request here
-        self.usual_foreign_load = 0.3  # mean requests of others at a backend that isn't this ingress's
-        self.own: frozenset[str] = frozenset()  # backends that this ingress prefers
+        self.foreign_loads: dict[str, ForeignLoad] = {}  # by backend
+        self.step = LATENCY_RATIO_STEP
+        self.work = INITIAL_WORK_S  # mean seconds of work of any request here
+        self.usual_foreign_load = (
+            INITIAL_FOREIGN_LOAD  # mean requests of others at a backend that isn't this ingress's
+        )
+        self.own_backends: frozenset[str] = frozenset()  # backends that this ingress prefers
 
     def learn_route(self, cls: io.ClassSettings, target_latency: float, tenant: str) -> None:
         """Initialize the statistics of a route and a tenant at their first request. `target_latency` is in
@@ -157,9 +123,9 @@
 
     def review(self, now: float) -> None:
         """Send the queued requests that can be sent now, and refuse those that have become late."""
-        held = self.queue
+        queued = self.queue
         self.queue = []
-        for f in held:
+        for f in queued:
             if f.req.id in self.active_requests:
                 super().send(now, f)
 
@@ -172,32 +138,31 @@
         load of others at a backend is known from its last response, and soon only by what is usual there.
         """
         slots = max(1.0, b.entry.weight)
-        foreign_load = self.others.get(b.entry.backend)
+        foreign_load = self.foreign_loads.get(b.entry.backend)
         foreign = (
             self.usual_foreign_load
             if foreign_load is None
-            else foreign_load.expect(now, self.usual_foreign_load)
+            else foreign_load.estimate(now, self.usual_foreign_load)
         )
         ahead = expected_queue(len(b.out), foreign, int(slots)) / slots
-        relative_work = min(
-            MAX_FOREIGN_WORK, self.work / self.base[f.cls.name]
-        )  # mean work of a queued request, relative to this one's
+        # Mean work of a queued request, relative to this one's.
+        relative_work = min(MAX_WORK_RATIO, self.work / self.base[f.cls.name])
         cost = self.slowness(b) * (1 + ahead * relative_work)
-        if b.entry.backend not in self.own:
+        if b.entry.backend not in self.own_backends:
             cost *= FOREIGN_BACKEND_COST
         return cost * REMOTE_ZONE_COST if b.entry.zone != self.s.zone else cost
 
     def judge(self, now: float, b: Backend, e: io.AttemptEnded, name: str, plan: str) -> None:
         """Learn from an ended attempt, here also from the load that its response reports."""
         if "inflight" in e.load:
-            told = max(0.0, e.load["inflight"] - len(b.out))
-            foreign_load = self.others.get(b.entry.backend)
+            reported = max(0.0, e.load["inflight"] - len(b.out))
+            foreign_load = self.foreign_loads.get(b.entry.backend)
             if foreign_load is None:
-                foreign_load = self.others[b.entry.backend] = ForeignLoad(self.usual_foreign_load)
-            foreign_load.tell(now, told)
+                foreign_load = self.foreign_loads[b.entry.backend] = ForeignLoad(self.usual_foreign_load)
+            foreign_load.on_report(now, reported)
             self.work += WORK_STEP * (e.elapsed - self.work)
-            if b.entry.backend not in self.own:
-                self.usual_foreign_load += USUAL_STEP * (told - self.usual_foreign_load)
+            if b.entry.backend not in self.own_backends:
+                self.usual_foreign_load += USUAL_LOAD_STEP * (reported - self.usual_foreign_load)
         super().judge(now, b, e, name, plan)
 
     def listed(self, now: float, e: io.ListUpdate) -> None:
@@ -205,22 +170,24 @@
         super().listed(now, e)
         for entry in e.entries:
             if entry.phase is io.Phase.DELETED:
-                self.others.pop(entry.backend, None)
-        held = [b.entry.weight for b in self.fleet.backends.values() if b.usable]
-        self.limit.floor = 1 + 2 * sum(held) / max(1, len(held))
+                self.foreign_loads.pop(entry.backend, None)
+        weights = [b.entry.weight for b in self.fleet.backends.values() if b.usable]
+        self.limit.floor = 1 + 2 * sum(weights) / max(1, len(weights))
         # Backends are added one by one: the limit must not stay at what fits the first. Under load more are
         # added as well. A new leader may know of few ingresses yet; the budget accepts that only later.
         self.limit.slots = max(self.limit.slots, INITIAL_SLOTS * self.fleet.usable / self.budget.ingresses)
 
-    def assign_own_backends(self, place: int, zone_peers: int) -> None:
+    def assign_own_backends(self, index_in_zone: int, zone_ingresses: int) -> None:
         """Choose this ingress's own backends: those of the zone, dealt in turn to the zone's ingresses, of
-        which it has the index `place` among `zone_peers`."""
-        near = sorted(
+        which it has the index `index_in_zone` among `zone_ingresses`."""
+        in_zone = sorted(
             b.entry.backend for b in self.fleet.backends.values() if b.usable and b.entry.zone == self.s.zone
         )
         first = zlib.crc32(self.name.encode())  # or the first ingresses would get more of each service
-        self.own = frozenset(
-            n for i, n in enumerate(near) if zone_peers and (i + first) % zone_peers == place
+        self.own_backends = frozenset(
+            name
+            for i, name in enumerate(in_zone)
+            if zone_ingresses and (i + first) % zone_ingresses == index_in_zone
         )
 
     def movable(self, now: float, f: ActiveRequest) -> bool:
@@ -236,7 +203,7 @@
             )
         )
 
-    def why(self, f: ActiveRequest) -> str:
+    def refusal_reason(self, f: ActiveRequest) -> str:
         """Why a request that has not run is refused."""
         if f.attempts:
             return "turned away by backends"
--- a/simulation/model/injected_bugs.py
+++ b/simulation/model/injected_bugs.py
@@ -42,7 +42,7 @@
         about = received.about
         request(now, received._replace(about=about._replace(tenant=None) if about.tenant else about))
 
-    decisions.on[io.Request] = unlimited
+    decisions.request = unlimited
 
 
 def _deaf_to_drain(process: ProxyProcess) -> None:
@@ -78,7 +78,7 @@
     decisions: Any = ingress.gateway
 
     def refuse(now: float, active_request: Any, wait: float) -> None:
-        decisions.acts.append(io.Refuse(active_request.req.id, 0.1))
+        decisions.outputs.append(io.Refuse(active_request.req.id, 0.1))
         decisions.forget(active_request.req.id)
 
     decisions.give_up = refuse
--- a/tests/gateway/proxy/call_simulation.py
+++ b/tests/gateway/proxy/call_simulation.py
@@ -19,7 +19,8 @@
 from gateway.config import document
 from gateway.config.routing import CompiledConfig
 from gateway.proxy import service as services
-from gateway.proxy.decisions import Decisions, ProxyPeers
+from gateway.proxy.decisions import Decisions
+from gateway.proxy.events import PeersChanged
 from gateway.proxy.ingress import ProxyIngress
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.quota.quota_client import QuotaClient
@@ -310,7 +311,7 @@
         self.decisions = Decisions(
             QuotaClient(5.0, rng), terms, lambda n: RetryBudget(0.2, 1000.0, 10.0, n), rng
         )
-        self.decisions.handle(self.process.time() - 9.0, ProxyPeers(1, 0, 0))
+        self.decisions.handle(self.process.time() - 9.0, PeersChanged(1, 0, 0))
         self.upstream = Upstream(self, loop)
         self.ingress = ProxyIngress(loop, terms, self.decisions, self.upstream, print, self.process.time)
         self.ingress.compiled_config = compiled_config
@@ -424,7 +425,7 @@
             assert ask.safe or runs[name] <= 1, f"{name} runs {runs[name]} times"
         for client_connection in self.client_connections:
             self.heard(client_connection, runs)
-        assert not self.ingress.held and not self.decisions.homes
+        assert not self.ingress.held and not self.decisions.service_by_request
         assert not any(s.active_requests or s.limit.in_flight for s in self.decisions.services.values())
 
     def heard(self, client_connection: SimulatedClient, runs: Counter[str]) -> None:
--- a/tests/gateway/proxy/proxy_fixture.py
+++ b/tests/gateway/proxy/proxy_fixture.py
@@ -14,7 +14,8 @@
 from gateway.config import document
 from gateway.config.routing import CompiledConfig
 from gateway.proxy import service as services
-from gateway.proxy.decisions import Decisions, ProxyPeers
+from gateway.proxy.decisions import Decisions
+from gateway.proxy.events import PeersChanged
 from gateway.proxy.ingress import ProxyIngress
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.quota import quota_pb2 as pb
@@ -146,7 +147,7 @@
         quota_client = QuotaClient(5.0, rng)
         terms = services.settings(1, 2.0, "z1")
         self.decisions = Decisions(quota_client, terms, lambda n: RetryBudget(0.2, slack, 10.0, n), rng)
-        self.decisions.handle(-9.0, ProxyPeers(1, 0, 0))
+        self.decisions.handle(-9.0, PeersChanged(1, 0, 0))
         self.upstream = Upstream(loop, 2.0, 15.0, 100)
         self.ingress = ProxyIngress(loop, terms, self.decisions, self.upstream, self.holder)
         self.server = Server(loop, self.ingress, 50)
--- a/tests/gateway/proxy/test_client_gone.py
+++ b/tests/gateway/proxy/test_client_gone.py
@@ -27,7 +27,7 @@
         await until(plane.peers["i1"].seen[0].ended)
         await until(lambda: not plane.ingress.held)
         assert plane.ingress.statistics.counts["attempt cancelled"] == 1  # and didn't end with its deadline
-        assert not plane.decisions.homes and plane.decisions.services["s1"].limit.in_flight == 0
+        assert not plane.decisions.service_by_request and plane.decisions.services["s1"].limit.in_flight == 0
 
     run(main())
 
--- a/tests/gateway/proxy/test_precedence.py
+++ b/tests/gateway/proxy/test_precedence.py
@@ -5,8 +5,8 @@
 from types import SimpleNamespace
 from typing import Any
 
-from gateway.proxy.decisions import RequestContext
 from gateway.proxy.ingress import ProxyIngress
+from gateway.proxy.request_context import RequestContext
 from ingress import interface as io
 from tests.gateway.proxy.test_proxy_startup import flight
 from tests.gateway.proxy.test_proxy_startup import service as backends_of
@@ -16,7 +16,7 @@
 
 def proxy_ingress() -> Any:
     """As much of an ingress as tells late tries."""
-    return SimpleNamespace(patience={})
+    return SimpleNamespace(first_timeouts={})
 
 
 def route_of(target_latency: float) -> Any:
@@ -27,7 +27,7 @@
 def test_a_nomination_goes_before_a_view_whatever_the_tenants_own_precedence() -> None:
     nomination, view = SimpleNamespace(precedence=1), SimpleNamespace(precedence=2)
     ranks = [
-        RequestContext(route, None, precedence=0, late=late).rank  # type: ignore[arg-type]
+        RequestContext(route, None, precedence=0, late=late).quota_precedence  # type: ignore[arg-type]
         for route in (nomination, view)
         for late in (False, True)
     ]
@@ -57,7 +57,7 @@
     for name, of_route, of_tenant in requests:
         precedence = of_route if of_tenant is None else of_tenant
         about = RequestContext(SimpleNamespace(precedence=of_route), None, precedence)  # type: ignore[arg-type]
-        service.send(0.0, in_flight(service, name, about.urgency))
+        service.send(0.0, in_flight(service, name, about.queue_priority))
     names = [f.req.id for f in service.queue]
     assert len(names) == len(requests)
     return names
--- a/tests/gateway/proxy/test_proxy.py
+++ b/tests/gateway/proxy/test_proxy.py
@@ -107,7 +107,11 @@
         for raw in story.asks:
             await plane.ask(raw, client)
         assert "\n".join(plane.said) == snapshot
-        assert not plane.ingress.held and not plane.decisions.homes and not plane.decisions.charged
+        assert (
+            not plane.ingress.held
+            and not plane.decisions.service_by_request
+            and not plane.decisions.charged_requests
+        )
 
     run(main())
 
@@ -138,7 +142,7 @@
         await until(lambda: not plane.ingress.held)
         plane.ingress.handle_quota(Received(HOLDER, pb.Message(verdict=pb.Verdict(id=plane.charges[0]))))
         assert plane.said == ["count  charge: go", "count  one given back"]
-        assert not plane.peers["i1"].seen and not plane.decisions.waiting
+        assert not plane.peers["i1"].seen and not plane.decisions.pending_charges
 
     run(main())
 
--- a/tests/gateway/proxy/test_proxy_startup.py
+++ b/tests/gateway/proxy/test_proxy_startup.py
@@ -61,6 +61,6 @@
             seen.count(1.5, OVER_ALLOWANCE)  # a tenant's own doing
         seen.request_received(2.1)
     assert [(r.levelname, r.getMessage()) for r in caplog.records] == [
-        ("WARNING", "of 13 requests in a second turned back: no backend known 9, over the allowance 4"),
-        ("INFO", "of 1 requests in a second turned back: over the allowance 9"),
+        ("WARNING", "of 13 requests in a second rejected: no backend known 9, over the allowance 4"),
+        ("INFO", "of 1 requests in a second rejected: over the allowance 9"),
     ]
--- a/tests/gateway/proxy/test_retry_budget.py
+++ b/tests/gateway/proxy/test_retry_budget.py
@@ -5,7 +5,8 @@
 import random
 
 from gateway.proxy import service as services
-from gateway.proxy.decisions import Backends, Decisions, ProxyPeers
+from gateway.proxy.decisions import Decisions
+from gateway.proxy.events import BackendsChanged, PeersChanged
 from gateway.proxy.retry_budget import RetryBudget
 from gateway.quota.quota_client import QuotaClient
 from ingress import interface as io
@@ -16,8 +17,8 @@
     d = Decisions(
         QuotaClient(5.0, rng), services.settings(12, 0.3, "z1"), lambda n: RetryBudget(0.2, 68, 10.0, n), rng
     )
-    d.handle(0.0, ProxyPeers(2, 0, 1))  # type: ignore[arg-type]  # the others have not told the core yet
-    d.handle(0.0, Backends("s1", (io.BackendEntry("i1", io.Phase.RUNNING),)))  # type: ignore[arg-type]
+    d.handle(0.0, PeersChanged(2, 0, 1))  # the others have not told the core yet
+    d.handle(0.0, BackendsChanged("s1", (io.BackendEntry("i1", io.Phase.RUNNING),)))
     assert d.services["s1"].budget.ingresses == 12
-    d.handle(1.0, ProxyPeers(14, 0, 5))  # type: ignore[arg-type]
+    d.handle(1.0, PeersChanged(14, 0, 5))
     assert d.services["s1"].budget.ingresses == 14
