--- a/examples/run.py
+++ b/examples/run.py
@@ -16,6 +16,7 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -109,12 +110,12 @@
         self.until("the configuration to be taken", lambda: call(self.control, "PUT", "/-/config", config))
         self.until("the proxy to be ready", lambda: call(self.ready, "GET", "/-/readiness"))
 
-    def until(self, what: str, ask: Any) -> Answer:
+    def until(self, what: str, attempt: Callable[[], Answer]) -> Answer:
         """Ask again until the answer is 200. RuntimeError: not in time, or a process has ended."""
         ends = time.monotonic() + START_S
         answer = NONE
         while time.monotonic() < ends and self.all_run():
-            answer = ask()
+            answer = attempt()
             if answer.status == 200:
                 return answer
             time.sleep(0.2)
--- a/gateway/cli/control_client.py
+++ b/gateway/cli/control_client.py
@@ -12,6 +12,7 @@
 from typing import NamedTuple
 from urllib.parse import urlsplit
 
+from gateway.http_status import is_client_error, is_success
 from gateway.runtime.address import host_port
 from gateway.state_machine import Address
 
@@ -85,8 +86,8 @@
     attempt = 0
     while True:
         answer = _follow_redirects(send, seeds[attempt % len(seeds)], call, call_timeout_s)
-        other_4xx += 400 <= answer.status < 500 and answer.status not in RETRY_STATUSES
-        is_definite = 200 <= answer.status < 300 or answer.status in FINAL_STATUSES
+        other_4xx += is_client_error(answer.status) and answer.status not in RETRY_STATUSES
+        is_definite = is_success(answer.status) or answer.status in FINAL_STATUSES
         if is_definite or other_4xx >= MAX_OTHER_4XX or clock() + backoff_s > deadline:
             return answer
         sleep(backoff_s)
--- a/gateway/config/digest.py
+++ b/gateway/config/digest.py
@@ -114,8 +114,8 @@
         found: list[Difference] = []
         if not self._pending_items:
             self._pending_items = list(iterate_items(self.compiled_config))
-            for name in self.expected.items.keys() - {name for name, _ in self._pending_items}:
-                found.append(Difference(self._place(name), "absent", "present"))
+            missing = self.expected.items.keys() - {name for name, _ in self._pending_items}
+            found += [Difference(self._place(name), "absent", "present") for name in missing]
         for _ in range(min(n, len(self._pending_items))):
             found += self.check_item(*self._pending_items.pop())
         self.completed_passes += not self._pending_items
--- a/gateway/config/document.py
+++ b/gateway/config/document.py
@@ -84,15 +84,15 @@
     """One configuration, immutable once it is built by `parse`, `from_raw` or `apply_patch`."""
 
     __slots__ = (
-        "raw",
-        "generation",
         "base_version",
         "entries",
+        "entries_by_key",
+        "generation",
+        "limits",
+        "raw",
         "routes",
         "services",
         "tenants",
-        "limits",
-        "entries_by_key",
     )
 
     def __init__(self, raw: Raw, generation: int, base_version: int) -> None:
--- a/gateway/config/reference.py
+++ b/gateway/config/reference.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import NamedTuple
 
 from gateway.config.document import Document, Raw
@@ -83,7 +84,7 @@
     tenant = running.tenant
     if r is None:
         ran = ExpectedDecision(running.status)
-    elif running.status != 200:
+    elif running.status != HTTPStatus.OK:
         ran = ExpectedDecision(running.status, r.label)
     else:
         ran = ExpectedDecision(
--- a/gateway/config/routing.py
+++ b/gateway/config/routing.py
@@ -17,18 +17,18 @@
     """
 
     __slots__ = (
-        "label",
+        "cumulative_shares",
+        "deadline",
+        "entry",
         "host",
+        "label",
+        "precedence",
         "prefix",
+        "public",
         "safe",
-        "deadline",
         "target_latency",
-        "precedence",
-        "tries",
-        "public",
         "targets",
-        "cumulative_shares",
-        "entry",
+        "tries",
     )
 
     def __init__(self, entry: RouteEntry) -> None:
@@ -72,7 +72,7 @@
 class Tenant:
     """A compiled tenant. `rate` is requests a second, 0 for no limit; `precedence` None: the route's."""
 
-    __slots__ = ("label", "precedence", "rate", "burst")
+    __slots__ = ("burst", "label", "precedence", "rate")
 
     def __init__(self, entry: TenantEntry) -> None:
         self.label = entry.label
@@ -127,7 +127,7 @@
     Unchanged routes and tenants are those of `previous`: open requests refer to them.
     """
 
-    __slots__ = ("generation", "hosts", "routes", "tenants", "keys", "requires_key", "services", "limits")
+    __slots__ = ("generation", "hosts", "keys", "limits", "requires_key", "routes", "services", "tenants")
 
     def __init__(self, document: Document, previous: CompiledConfig | None = None) -> None:
         self.generation = document.generation
--- a/gateway/consensus/store.py
+++ b/gateway/consensus/store.py
@@ -22,6 +22,7 @@
 RETAINED_GENERATIONS = 2
 MAX_FILE_BYTES = 32 << 20  # larger files aren't read
 PREFIX = "gen-"
+MAX_GENERATION_DIGITS = 15  # a longer number isn't of a file of ours
 RECORD_KEY = b"record"
 CHECKSUM_KEY = b"sum"
 
@@ -125,7 +126,7 @@
         except FileNotFoundError:
             return set()
         stems = (name[len(PREFIX) :].partition(".")[0] for name in names if name.startswith(PREFIX))
-        return {int(stem) for stem in stems if stem.isdecimal() and len(stem) < 16}
+        return {int(stem) for stem in stems if stem.isdecimal() and len(stem) <= MAX_GENERATION_DIGITS}
 
     def _write(self, generation: int, data: bytes) -> None:
         path = self._path(generation)
--- a/gateway/drift/live_check.py
+++ b/gateway/drift/live_check.py
@@ -51,9 +51,9 @@
     """
 
     __slots__ = (
+        "compiled_config",
         "document",
         "expected",
-        "compiled_config",
         "next_scan_at",
         "rejected_sample_at",
         "requests",
--- a/gateway/programs/drift_monitor.py
+++ b/gateway/programs/drift_monitor.py
@@ -4,7 +4,7 @@
 
 import json
 import logging
-from typing import Any, Protocol, assert_never
+from typing import Protocol, assert_never
 
 from gateway.config.digest import ExpectedDigests
 from gateway.config.document import Document
@@ -210,11 +210,11 @@
                 + render_metrics(quota_report.metrics(self.node.clock()), QUOTA_METRIC_PREFIX),
             )
         else:
-            told = {**self.status(), **quota_report.status(self.node.clock())}
-            reply(200, JSON, json.dumps(told).encode())
+            fields = {**self.status(), **quota_report.status(self.node.clock())}
+            reply(200, JSON, json.dumps(fields).encode())
         return True
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> dict[str, object]:
         """The JSON object of `GET /-/status`. Times are seconds."""
         detector = self.drift_detector
         live = self.live
--- a/gateway/programs/fleet_monitor.py
+++ b/gateway/programs/fleet_monitor.py
@@ -4,8 +4,7 @@
 
 import json
 import logging
-from collections.abc import Callable, Sequence
-from typing import Any
+from collections.abc import Callable, Mapping, Sequence
 
 from gateway.config.document import Document
 from gateway.drift import events as drift_events
@@ -94,7 +93,12 @@
     # Status and metrics.
 
     def answer(
-        self, now: float, http_call: HttpCall, reply: Reply, more: dict[str, Any], quota_report: QuotaReport
+        self,
+        now: float,
+        http_call: HttpCall,
+        reply: Reply,
+        more: Mapping[str, object],
+        quota_report: QuotaReport,
     ) -> bool:
         """Answer a call for status or metrics; False if it is another call.
 
@@ -114,7 +118,7 @@
             reply(200, JSON, json.dumps({**self.status(now), **more, **quota_report.status(now)}).encode())
         return True
 
-    def status(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, object]:
         """The JSON object of `GET /-/status`: all known nodes, and findings reported or made here."""
         port = self.me.rpartition(":")[2]
         detector = self.drift_detector
--- a/gateway/programs/quota_report.py
+++ b/gateway/programs/quota_report.py
@@ -7,7 +7,7 @@
 
 import logging
 from itertools import accumulate
-from typing import Any, Protocol
+from typing import Protocol
 
 from gateway.drift.metrics import Metric
 from gateway.quota.decision_statistics import BUCKET_EDGES, DECISION_LABELS, LATENCY_LABELS
@@ -19,6 +19,7 @@
 QUOTA_LOGGER = "gateway.quota_report"
 QUOTA_METRIC_PREFIX = "gateway_allowance_"
 REPORT_INTERVAL_S = 5.0
+MAX_VIEW_AGE_S = 1e8  # an older view was never reported
 
 log = logging.getLogger(QUOTA_LOGGER)
 
@@ -26,7 +27,7 @@
 class QuotaReport(Protocol):
     """The quota plane's part of `GET /-/status` and `GET /-/metrics`."""
 
-    def status(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, object]:
         """Fields that are added to the status."""
 
     def metrics(self, now: float) -> list[Metric]:
@@ -51,7 +52,7 @@
         if changes := self.changes(now):
             log.info({"node": self.me, **changes})
 
-    def changes(self, now: float) -> dict[str, Any]:
+    def changes(self, now: float) -> dict[str, object]:
         """The fields of the record; empty if nothing has changed."""
         raise NotImplementedError
 
@@ -66,7 +67,7 @@
         self.times = [[0] * len(counts) for counts in quota_client.statistics.times]
         self.refunded = 0
 
-    def changes(self, now: float) -> dict[str, Any]:
+    def changes(self, now: float) -> dict[str, object]:
         """What has changed since the last record.
 
         `charged`: by tenant and precedence the counts by `DECISION_LABELS`; `times`: by `LATENCY_LABELS` the
@@ -91,9 +92,8 @@
                 self.times[n] = list(counts)
         return {"charged": charged, "times": times, "back": back}
 
-    def status(self, now: float) -> dict[str, Any]:
-        """Each tenant's allowance, its remaining units as last heard, the age of that in seconds, and the own
-        share."""
+    def status(self, now: float) -> dict[str, object]:
+        """Each tenant's allowance, remaining units as last reported, the age of that, and the own share."""
         return {
             "allowance": [
                 {
@@ -104,7 +104,7 @@
                     "share": round(share, 2),
                 }
                 for tenant, (remaining, age, allowance, share) in sorted(self.quota_client.views(now).items())
-                if age < 1e8
+                if age < MAX_VIEW_AGE_S
             ]
         }
 
@@ -148,15 +148,18 @@
         """Each tenant counted here, with all views of its counter."""
         return self.shard_owner.view_audit.compare(now, self.shard_owner.counter_states(now))
 
-    def changes(self, now: float) -> dict[str, Any]:
-        """`held`: by tenant its allowance, remaining and reserved units, number of views, largest difference,
-        most units by which a view is beyond what was said, and the oldest view's age in seconds. `gained`,
-        `lost`: shards; `back`: units refunded."""
+    def changes(self, now: float) -> dict[str, object]:
+        """What has changed since the last record.
+
+        `held`: by tenant its allowance, remaining and reserved units, number of views, largest difference,
+        most units by which a view is outside of what was reported, and the oldest view's age in seconds.
+        `gained`, `lost`: shards; `back`: units refunded.
+        """
         view_audit = self.shard_owner.view_audit
         counts = view_audit.gained_shards, view_audit.lost_shards, view_audit.refunded
         gained, lost, back = (n - b for n, b in zip(counts, self.reported, strict=True))
         self.reported = counts
-        held = {
+        counters = {
             c.tenant: [
                 round(c.allowance, 2),
                 round(c.remaining, 2),
@@ -168,11 +171,11 @@
             ]
             for c in self.compared(now)
         }
-        if not held and not gained and not lost:
+        if not counters and not gained and not lost:
             return {}
-        return {"held": held, "gained": gained, "lost": lost, "back": back}
+        return {"held": counters, "gained": gained, "lost": lost, "back": back}
 
-    def status(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, object]:
         """Each tenant counted here, with each node's view of its counter."""
         return {
             "allowance": [
--- a/gateway/programs/settings_reload.py
+++ b/gateway/programs/settings_reload.py
@@ -5,7 +5,6 @@
 import asyncio
 import logging
 from collections.abc import Callable
-from typing import Any
 
 from result import Err
 
@@ -34,7 +33,7 @@
         self.file = file
         self.seeds = seeds
 
-    def look(self) -> None:
+    def check_file(self) -> None:
         """Read the file if it has changed since the last check."""
         if self.file.changed():
             self.read()
@@ -59,11 +58,11 @@
 def start_maintenance(loop: asyncio.AbstractEventLoop, reload: Reload, ring: LogRing) -> Ticker:
     """Start what a program does each second: check its settings file, and write pending logs."""
 
-    def second(now: float) -> None:
+    def maintain(now: float) -> None:
         ring.tick()
-        reload.look()
+        reload.check_file()
 
-    return Ticker(loop, CHECK_INTERVAL_S, second)
+    return Ticker(loop, CHECK_INTERVAL_S, maintain)
 
 
 def seed_addresses(settings: Settings) -> tuple[Address, ...]:
@@ -71,12 +70,13 @@
     return tuple(settings.controller_at(seed) for seed in settings.network.seeds)
 
 
-def differences(former: Any, later: Any, place: str = "") -> list[str]:
+def differences(former: object, later: object, place: str = "") -> list[str]:
     """Dotted names of the fields in which two settings differ; `place` is the prefix of the names."""
-    if not hasattr(former, "_fields"):
+    names: tuple[str, ...] | None = getattr(former, "_fields", None)
+    if names is None:
         return [] if former == later else [place]
     found = []
-    for name in former._fields:
+    for name in names:
         dotted = ("self" if name == "own" else name).replace("_", "-")
         found += differences(getattr(former, name), getattr(later, name), f"{place}.{dotted}".lstrip("."))
     return found
--- a/gateway/programs/status_report.py
+++ b/gateway/programs/status_report.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from gateway.consensus import quorum
 from gateway.consensus.raft import RaftNode
 from gateway.membership.controller import ControllerMembership
 
 CORE = "/-/core"
 LEASES = "/-/leases"
-Row = dict[str, Any]
+Row = dict[str, object]
 
 
 def core(raft: RaftNode, now: float) -> Row:
--- a/gateway/proxy/decisions.py
+++ b/gateway/proxy/decisions.py
@@ -179,8 +179,10 @@
         self.run_service(service, lambda: service.send(now, request))
 
     def forward_guarded(self, now: float, request: ActiveRequest, service: Service) -> None:
-        """As `forward`, outside the handling of the request's own event: an exception is logged and ends the
-        request, as it would there."""
+        """As `forward`, outside the handling of the request's own event.
+
+        An exception is logged and ends the request, as it would there.
+        """
         try:
             self.forward(now, request, service)
         except Exception:
@@ -256,8 +258,10 @@
             self.handle_quota(now, quota_events.Refund(attempt_number(request_id)))
 
     def give_up(self, now: float, request: ActiveRequest, retry_after_s: float) -> None:
-        """Answer a request finally: with a refusal and a time to retry if it never ran, otherwise with a
-        failure. `retry_after_s` is the least time to retry."""
+        """Answer a request finally: with a refusal and a time to retry if it never ran, else with a failure.
+
+        `retry_after_s` is the least time to retry.
+        """
         request_id = request.req.id
         service = self.service_by_request.get(request_id)
         if service is not None:
--- a/gateway/proxy/foreign_load.py
+++ b/gateway/proxy/foreign_load.py
@@ -28,16 +28,20 @@
         self.mean += MEAN_STEP * (reported - self.mean)
 
     def estimate(self, now: float, usual: float) -> float:
-        """The expected number now: the last report decays towards the backend's mean, and that towards
-        `usual`, the mean of all backends."""
+        """The expected number now.
+
+        The last report decays towards the backend's mean, and that towards `usual`, the mean of all backends.
+        """
         age = now - self.reported_at
         mean = usual + (self.mean - usual) * math.exp(-age / MEAN_DECAY_S)
         return mean + (self.reported - mean) * math.exp(-age / REPORT_DECAY_S)
 
 
 def expected_queue(own: int, foreign: float, slots: int) -> float:
-    """The expected number of requests queued before one more, with `own` requests of this ingress and a
-    Poisson distributed number of others, of mean `foreign`."""
+    """The expected number of requests queued before one more.
+
+    There are `own` requests of this ingress, and a Poisson distributed number of others, of mean `foreign`.
+    """
     free_slots = slots - 1 - own
     expected = foreign - free_slots
     if free_slots > 0:
--- a/gateway/proxy/ingress.py
+++ b/gateway/proxy/ingress.py
@@ -12,6 +12,7 @@
 from time import monotonic
 
 from gateway.config.routing import CompiledConfig, Route, RouteDecision, key_of
+from gateway.http_status import is_server_error
 from gateway.proxy.decisions import Decisions
 from gateway.proxy.events import BackendsChanged, PeersChanged, QuotaEvent
 from gateway.proxy.execution_status import ExecutionStatus
@@ -164,8 +165,10 @@
     # Requests to backends, and their responses.
 
     def message(self, call: ClientRequest, backend: str, timeout_s: float) -> bytes:
-        """The request as sent to a backend: for this instance only, with its tenant's label, and with
-        `timeout_s` as its deadline."""
+        """The request as sent to a backend.
+
+        It is for this instance only, with its tenant's label, and with `timeout_s` as its deadline.
+        """
         plan = call.request.plan
         tenant = b"Tenant: %s\r\n" % plan.encode() if plan else b""
         return call.message(
@@ -188,8 +191,10 @@
             return io.Outcome.FULL
         if not is_matching:
             return None
-        is_failure = answer.status >= 500 or answer.status in NEVER_RAN_STATUSES
-        is_unsealed_success = answer.status < 300 and b"backend-seal" not in answer.headers
+        is_failure = is_server_error(answer.status) or answer.status in NEVER_RAN_STATUSES
+        is_unsealed_success = (
+            answer.status < HTTPStatus.MULTIPLE_CHOICES and b"backend-seal" not in answer.headers
+        )
         return io.Outcome.ERROR if is_failure or is_unsealed_success else io.Outcome.OK
 
     def lines(self, answer: Response) -> bytes:
@@ -201,8 +206,10 @@
         )
 
     def load(self, answer: Response | None) -> dict[str, float]:
-        """The load by the header `Backend-Load`: requests running, requests waiting, slots. Empty unless it
-        has these three parts."""
+        """The load by the header `Backend-Load`: requests running, requests waiting, slots.
+
+        Empty unless it has these three parts.
+        """
         header = answer.headers.get(b"backend-load") if answer is not None else None
         if not header:
             return {}
@@ -216,21 +223,26 @@
 
     def execution_status(self, held: PendingRequest) -> ExecutionStatus:
         """What is known of a request's execution by backends."""
-        if held.last is not None and held.may_have_run and held.last.status >= 500:
+        if held.last is not None and held.may_have_run and is_server_error(held.last.status):
             return ExecutionStatus.RAN
         sent = held.may_have_run or (held.exchange is not None and held.exchange.may_have_run)
         return ExecutionStatus.MAY_HAVE_RAN if sent else ExecutionStatus.NEVER_RAN
 
     def waits_out_silence(self, held: PendingRequest) -> bool:
-        """Whether to wait on for a response whose backend has fallen silent: until the deadline if a part of
-        it has been passed on, else if the request can't be moved to another backend."""
+        """Whether to wait on for a response whose backend has fallen silent.
+
+        Until the deadline if a part of it has been passed on, else if the request can't be moved to another
+        backend.
+        """
         if held.flowing:
             return self.loop.time() < held.deadline < math.inf
         return not self.movable(self.now(), held.call.request.id)
 
     def cancels_when_gone(self, held: PendingRequest) -> bool:
-        """Whether a request is cancelled when its client disconnects: only a safe one is, as backends drop a
-        request when its connection closes."""
+        """Whether a request is cancelled when its client disconnects.
+
+        Only a safe one is, as backends drop a request when its connection closes.
+        """
         return self.effects[held.call.request.class_name] is io.Effect.SAFE
 
     def may_refuse(self, held: PendingRequest) -> bool:
@@ -238,20 +250,29 @@
         return self.execution_status(held).allows_refusal
 
     def answer(self, held: PendingRequest, status: int, lines: bytes = b"", body: bytes = b"") -> None:
-        """Give the one final answer. A 408 for a request body that stalls becomes a 400 if a part of the body
-        may have been sent to a backend, as then nothing can be promised."""
+        """Give the one final answer.
+
+        A 408 for a request body that stalls becomes a 400 if a part of the body may have been sent to a
+        backend, as then nothing can be promised.
+        """
         may_have_run = status == HTTPStatus.REQUEST_TIMEOUT and not self.may_refuse(held)
         super().answer(held, HTTPStatus.BAD_REQUEST if may_have_run else status, lines, body)
 
     def finish(self, name: str, refused: bool, wait: float) -> None:
-        """Give the final answer: a refusal with a time to retry (`wait`, in seconds) if the request never
-        ran, else the backend's own error, else 502, or 504 at the deadline."""
+        """Give the final answer: a refusal with a time to retry (`wait`, in seconds) if it never ran.
+
+        Else the backend's own error, else 502, or 504 at the deadline.
+        """
         held = self.held.get(name)
         if held is None:
             return
         if refused and self.execution_status(held).allows_refusal:
             self.answer(held, 503, b"Retry-After: %.3f\r\n" % max(wait, MIN_RETRY_AFTER_S))
-        elif (last := held.last) is not None and last.status >= 500 and last.status not in NEVER_RAN_STATUSES:
+        elif (
+            (last := held.last) is not None
+            and is_server_error(last.status)
+            and last.status not in NEVER_RAN_STATUSES
+        ):
             self.answer(held, last.status, self.lines(last), last.body)
         else:
             self.answer(held, 504 if self.loop.time() >= held.deadline - TIMER_SLACK_S else 502)
@@ -304,8 +325,11 @@
         capacity: int = 1,
         zone: str = "",
     ) -> None:
-        """A backend was added, changed or removed (`phase`); its old connections are closed before anything
-        new may be sent. `slow_start_left_s` is the rest of its slow start."""
+        """A backend was added, changed or removed (`phase`).
+
+        Its old connections are closed before anything new may be sent. `slow_start_left_s` is the rest of
+        its slow start.
+        """
         if phase is io.Phase.DELETED:
             service = self.services.pop(name, service)
             self.upstream.update(name, None)
--- a/gateway/proxy/request_context.py
+++ b/gateway/proxy/request_context.py
@@ -8,8 +8,10 @@
 
 
 class RequestContext(NamedTuple):
-    """The result of matching a request against the configuration. `late`: a retry that comes too late to meet
-    the target latency."""
+    """The result of matching a request against the configuration.
+
+    `late`: a retry that comes too late to meet the target latency.
+    """
 
     route: Route
     tenant: Tenant | None
@@ -23,7 +25,9 @@
 
     @property
     def queue_priority(self) -> float:
-        """The order in which queued requests go to backends, the greatest first: by the request's precedence,
-        then by its route's."""
+        """The order in which queued requests go to backends, the greatest first.
+
+        By the request's precedence, then by its route's.
+        """
         route_precedence = self.route.precedence
         return 1.0 / (1 + self.precedence + route_precedence / (1 + route_precedence))
--- a/gateway/proxy/retry_budget.py
+++ b/gateway/proxy/retry_budget.py
@@ -33,15 +33,15 @@
     """
 
     __slots__ = (
+        "grown_at",
+        "ingresses",
         "ratio",
-        "slack",
-        "window",
-        "seconds",
         "requests",
         "retries",
-        "ingresses",
+        "seconds",
         "shared_at",
-        "grown_at",
+        "slack",
+        "window",
     )
 
     def __init__(self, ratio: float, slack: float, window: float, ingresses: int) -> None:
@@ -56,8 +56,10 @@
         self.retries = 0
 
     def share_among(self, now: float, ingresses: int) -> None:
-        """Divide the slack among this number of ingresses: a higher number counts at once, a lower one only
-        after `SHRINK_DELAY_S`."""
+        """Divide the slack among this number of ingresses.
+
+        A higher number counts at once, a lower one only after `SHRINK_DELAY_S`.
+        """
         if self.shared_at is None or ingresses > self.ingresses:
             self.grown_at = now
         if self.shared_at is None or ingresses >= self.ingresses:
--- a/gateway/proxy/service.py
+++ b/gateway/proxy/service.py
@@ -52,8 +52,10 @@
 
 
 def class_of(route: Route) -> io.ClassSettings:
-    """The request class of a route. Late responses are still of value, so no request is given up before its
-    deadline."""
+    """The request class of a route.
+
+    Late responses are still of value, so no request is given up before its deadline.
+    """
     effect = io.Effect.SAFE if route.safe else io.Effect.UNSAFE
     return io.ClassSettings(route.label, effect, objective=route.deadline, deadline=route.deadline)
 
@@ -95,8 +97,10 @@
         self.own_backends: frozenset[str] = frozenset()  # backends that this ingress prefers
 
     def learn_route(self, cls: io.ClassSettings, target_latency: float, tenant: str) -> None:
-        """Initialize the statistics of a route and a tenant at their first request. `target_latency` is in
-        seconds."""
+        """Initialize the statistics of a route and a tenant at their first request.
+
+        `target_latency` is in seconds.
+        """
         if cls.name not in self.latency:
             self.latency[cls.name] = self.base[cls.name] = INITIAL_LATENCY_RATIO * target_latency
         self.classes[cls.name] = cls
@@ -108,8 +112,11 @@
                 self.rejection_share[key] = 0.0
 
     def late(self, now: float, f: ActiveRequest) -> bool:
-        """Whether a request that can't be sent now is too late to be queued. It is as well if no backend can
-        become free for it: it has been at each usable one already, or there is none."""
+        """Whether a request that can't be sent now is too late to be queued.
+
+        It is as well if no backend can become free for it: it has been at each usable one already, or there
+        is none.
+        """
         left = any(b.usable and b.entry.backend not in f.bad for b in self.fleet.backends.values())
         return not left or super().late(now, f)
 
@@ -178,8 +185,10 @@
         self.limit.slots = max(self.limit.slots, INITIAL_SLOTS * self.fleet.usable / self.budget.ingresses)
 
     def assign_own_backends(self, index_in_zone: int, zone_ingresses: int) -> None:
-        """Choose this ingress's own backends: those of the zone, dealt in turn to the zone's ingresses, of
-        which it has the index `index_in_zone` among `zone_ingresses`."""
+        """Choose this ingress's own backends: those of the zone, dealt in turn to the zone's ingresses.
+
+        This ingress has the index `index_in_zone` among `zone_ingresses`.
+        """
         in_zone = sorted(
             b.entry.backend for b in self.fleet.backends.values() if b.usable and b.entry.zone == self.s.zone
         )
@@ -191,8 +200,11 @@
         )
 
     def movable(self, now: float, f: ActiveRequest) -> bool:
-        """Whether a request may be moved to another backend: not if its body is streamed or no other usable
-        backend is left, as cancelling would then only end its response."""
+        """Whether a request may be moved to another backend.
+
+        Not if its body is streamed or no other usable backend is left, as cancelling would then only end its
+        response.
+        """
         name = f.req.id
         return (
             not f.req.flows
--- a/gateway/quota/local_quota.py
+++ b/gateway/quota/local_quota.py
@@ -93,8 +93,7 @@
         is_over_demand = now < self.last_over_demand_at + OVER_DEMAND_WINDOWS * length
         accrual_start = self.window_ends_at - min(1.0, verdict.remaining / self.window.allowance) * length
         accrual_start += length if is_over_demand else -INITIAL_CREDIT_WINDOWS * length
-        if accrual_start > self.accrual_start:
-            self.accrual_start = accrual_start
+        self.accrual_start = max(self.accrual_start, accrual_start)
 
     def record_local_rejection(self, precedence: int) -> None:
         """Count a request that is rejected locally; the owner hears of it with the next charge."""
--- a/gateway/quota/quota_client.py
+++ b/gateway/quota/quota_client.py
@@ -28,6 +28,8 @@
 
 MIN_RETRY_AFTER_S = 0.05  # bounds of the wait in a rejection
 MAX_RETRY_AFTER_S = 2.0
+FIRST_RETRY = 2  # the attempt after the first part of a charge's timeout,
+LAST_RETRY = 3  # and the one after it, where the share is exhausted
 FIRST_RETRY_DIVISOR = 3  # of a charge's timeout: after that part of it the charge is sent again
 
 # Why the owner didn't decide, in the reasons of rejections.
@@ -307,13 +309,13 @@
         charge.attempts += 1
         link = charge.link
         may_retry = link is not None and not link.is_unresponsive and not self.leaving
-        if charge.attempts == 2 and link is not None and may_retry:
+        if charge.attempts == FIRST_RETRY and link is not None and may_retry:
             heappush(self.timers, (charge.sent_at + charge.timeout_s, attempt_id))
             return [self._charge_message(now, attempt_id, charge, link)]
         if link is not None:
             link.on_no_reply(charge.sent_at)
         wait_s = charge.local_quota.try_spend(now)
-        if wait_s and charge.attempts == 3 and link is not None and may_retry:
+        if wait_s and charge.attempts == LAST_RETRY and link is not None and may_retry:
             heappush(self.timers, (charge.sent_at + 2 * charge.timeout_s, attempt_id))
             return [self._charge_message(now, attempt_id, charge, link)]
         self.charges.waiting -= 1
--- a/gateway/quota/share_allocator.py
+++ b/gateway/quota/share_allocator.py
@@ -141,7 +141,7 @@
         if abs(target - share.size) > tolerance * share.size + 2:
             self._change_size(share, target)
         share.expires_at = now + SHARE_S + LEASE_MARGIN_S
-        return share.number != 0 and confirmed_number != share.number
+        return share.number not in (0, confirmed_number)
 
     def _change_size(self, share: ClientShare, target: int) -> None:
         """Lower a share at once, or raise it as far as the other shares leave room."""
--- a/gateway/runtime/settings.py
+++ b/gateway/runtime/settings.py
@@ -18,6 +18,7 @@
 from gateway.state_machine import Address
 
 VARIABLE = "EIDERSTAGE_NODE_FILE"
+PORT_RANGE_ENDS = 2  # first and last port
 PORT_OFFSETS = {"proxy": 0, "controller": 1}
 """Offset of a program's own port from the first port of `network.port-range`."""
 
@@ -142,7 +143,7 @@
 
 
 def _port_range(ports: tuple[int, ...]) -> str:
-    is_valid = len(ports) == 2 and 0 < ports[0] < ports[1] <= MAX_PORT
+    is_valid = len(ports) == PORT_RANGE_ENDS and 0 < ports[0] < ports[1] <= MAX_PORT
     return "" if is_valid else f"must be two ports, the lower one first, not {list(ports)}"
 
 
--- a/gateway/runtime/tcp_links.py
+++ b/gateway/runtime/tcp_links.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
 from collections import deque
 from collections.abc import Callable, Hashable
@@ -282,10 +283,8 @@
 
 def try_option(sock: socket.socket, level: int, option: int, value: int) -> None:
     """Set a socket option; errors are ignored."""
-    try:
+    with contextlib.suppress(OSError):
         sock.setsockopt(level, option, value)
-    except OSError:
-        pass
 
 
 def _frame(data: bytes) -> bytes:
--- a/ingress/net/counter.py
+++ b/ingress/net/counter.py
@@ -27,7 +27,7 @@
 class Add:
     """One add call, with the loop time by which it needs a reply."""
 
-    __slots__ = ("name", "text", "due", "began", "reply")
+    __slots__ = ("began", "due", "name", "reply", "text")
 
     def __init__(self, name: int, text: bytes, began: float, due: float) -> None:
         self.name = name
--- a/ingress/net/pending_request.py
+++ b/ingress/net/pending_request.py
@@ -34,18 +34,18 @@
     """A request that waits for its one final response. `deadline` is loop time."""
 
     __slots__ = (
+        "answered",
+        "attempt_history",
+        "attempts",
         "call",
         "client",
-        "timer",
-        "attempts",
-        "exchange",
-        "answered",
-        "may_have_run",
         "deadline",
-        "attempt_history",
-        "flowing",
         "ended",
+        "exchange",
+        "flowing",
         "last",
+        "may_have_run",
+        "timer",
     )
 
     def __init__(self, call: ClientRequest, client: Client, deadline: float) -> None:
@@ -82,7 +82,7 @@
 class ResponseRelay:
     """Streams one attempt's large response to the client as the final one. `number` is the attempt's."""
 
-    __slots__ = ("ingress", "held", "number", "sent")
+    __slots__ = ("held", "ingress", "number", "sent")
 
     def __init__(self, ingress: PendingRequestOwner, held: PendingRequest, number: int) -> None:
         self.ingress = ingress
--- a/simulation/model/backends.py
+++ b/simulation/model/backends.py
@@ -25,7 +25,7 @@
 class BackendRequest:
     """A request at a backend."""
 
-    __slots__ = ("attempt", "deadline", "done", "fields", "path", "running", "over")
+    __slots__ = ("attempt", "deadline", "done", "fields", "over", "path", "running")
 
     def __init__(
         self, attempt: str, path: str, fields: dict[bytes, bytes], deadline: float, done: Done
--- a/simulation/model/client_requests.py
+++ b/simulation/model/client_requests.py
@@ -12,6 +12,7 @@
     __slots__ = (
         "began",
         "ends",
+        "hashed",
         "host",
         "key",
         "kind",
@@ -23,7 +24,6 @@
         "tenant",
         "ways",
         "zone",
-        "hashed",
     )
 
     def __init__(
--- a/simulation/model/tcp.py
+++ b/simulation/model/tcp.py
@@ -35,24 +35,24 @@
     """
 
     __slots__ = (
-        "closed",
         "client",
+        "closed",
         "free_at",
+        "held",
         "lost",
         "network",
+        "over",
         "patience",
         "paused",
         "peer",
         "pending",
         "place",
         "process",
+        "receiver",
         "silent",
         "stuck_at",
         "taken_bytes",
-        "receiver",
         "waiting",
-        "held",
-        "over",
     )
 
     def __init__(
--- a/simulation/report.py
+++ b/simulation/report.py
@@ -17,7 +17,7 @@
 from simulation.sweep import Row, Summary, summaries
 
 matplotlib.use("Agg")
-from matplotlib import pyplot as plt  # noqa: E402
+from matplotlib import pyplot as plt
 
 SHOWN = (
     "served_part",
--- a/tests/gateway/programs/test_reload.py
+++ b/tests/gateway/programs/test_reload.py
@@ -45,7 +45,7 @@
     def look(self) -> list[tuple[str, ...]]:
         """What is told at the next look."""
         self.seeds.clear()
-        self.reload.look()
+        self.reload.check_file()
         return list(self.seeds)
 
 
--- a/tests/ingress/test_flow.py
+++ b/tests/ingress/test_flow.py
@@ -157,7 +157,6 @@
 
         async def act(seen):
             seen.writer.write(ok(body))
-            return None
 
         backend = await Peer(act).listen()
         rig = IngressRig(in_turn("b0"))
