--- a/gateway/membership/log_follower.py
+++ b/gateway/membership/log_follower.py
@@ -17,9 +17,8 @@
 STARTUP_S = 2.0  # for how long after it is first followed a source may be starting
 SOURCE_TIMEOUT_S = 1.5  # a source not heard for so long is unresponsive
 REQUEST_INTERVAL_S = 0.05  # between two requests for missing changes
-REPORT_S = (
-    2.0  # after a change, and to unresponsive sources, each heartbeat reports the running configuration;
-)
+# After a change, and to unresponsive sources, each heartbeat reports the running configuration;
+REPORT_S = 2.0
 REPORT_EVERY = 2  # otherwise one heartbeat in so many does
 LONG_AGO = -1e9  # before any time of a steady clock, in seconds
 NO_ZONE = -1
--- a/gateway/proxy/ingress.py
+++ b/gateway/proxy/ingress.py
@@ -139,7 +139,7 @@
         route = route_decision.route
         tenant = route_decision.tenant
         self.effects[route.label] = io.Effect.SAFE if route.safe else io.Effect.UNSAFE
-        self.aims[route.label] = route.target_latency
+        self.objectives[route.label] = route.target_latency
         is_late = self.late(route, timeout_s)
         return io.Request(
             name.decode(),
@@ -221,61 +221,61 @@
 
     # Final answers.
 
-    def execution_status(self, held: PendingRequest) -> ExecutionStatus:
+    def execution_status(self, pending: PendingRequest) -> ExecutionStatus:
         """What is known of a request's execution by backends."""
-        if held.last is not None and held.may_have_run and is_server_error(held.last.status):
+        if pending.last is not None and pending.may_have_run and is_server_error(pending.last.status):
             return ExecutionStatus.RAN
-        sent = held.may_have_run or (held.exchange is not None and held.exchange.may_have_run)
+        sent = pending.may_have_run or (pending.exchange is not None and pending.exchange.may_have_run)
         return ExecutionStatus.MAY_HAVE_RAN if sent else ExecutionStatus.NEVER_RAN
 
-    def waits_out_silence(self, held: PendingRequest) -> bool:
+    def waits_for_silent_backend(self, pending: PendingRequest) -> bool:
         """Whether to wait on for a response whose backend has fallen silent.
 
         Until the deadline if a part of it has been passed on, else if the request can't be moved to another
         backend.
         """
-        if held.flowing:
-            return self.loop.time() < held.deadline < math.inf
-        return not self.movable(self.now(), held.call.request.id)
+        if pending.flowing:
+            return self.loop.time() < pending.deadline < math.inf
+        return not self.movable(self.now(), pending.call.request.id)
 
-    def cancels_when_gone(self, held: PendingRequest) -> bool:
+    def cancels_when_gone(self, pending: PendingRequest) -> bool:
         """Whether a request is cancelled when its client disconnects.
 
         Only a safe one is, as backends drop a request when its connection closes.
         """
-        return self.effects[held.call.request.class_name] is io.Effect.SAFE
+        return self.effects[pending.call.request.class_name] is io.Effect.SAFE
 
-    def may_refuse(self, held: PendingRequest) -> bool:
+    def may_refuse(self, pending: PendingRequest) -> bool:
         """Whether a refusal, which promises that the request never ran, may be given."""
-        return self.execution_status(held).allows_refusal
+        return self.execution_status(pending).allows_refusal
 
-    def answer(self, held: PendingRequest, status: int, lines: bytes = b"", body: bytes = b"") -> None:
+    def answer(self, pending: PendingRequest, status: int, lines: bytes = b"", body: bytes = b"") -> None:
         """Give the one final answer.
 
         A 408 for a request body that stalls becomes a 400 if a part of the body may have been sent to a
         backend, as then nothing can be promised.
         """
-        may_have_run = status == HTTPStatus.REQUEST_TIMEOUT and not self.may_refuse(held)
-        super().answer(held, HTTPStatus.BAD_REQUEST if may_have_run else status, lines, body)
+        may_have_run = status == HTTPStatus.REQUEST_TIMEOUT and not self.may_refuse(pending)
+        super().answer(pending, HTTPStatus.BAD_REQUEST if may_have_run else status, lines, body)
 
     def finish(self, name: str, refused: bool, wait: float) -> None:
         """Give the final answer: a refusal with a time to retry (`wait`, in seconds) if it never ran.
 
         Else the backend's own error, else 502, or 504 at the deadline.
         """
-        held = self.held.get(name)
-        if held is None:
+        pending = self.pending.get(name)
+        if pending is None:
             return
-        if refused and self.execution_status(held).allows_refusal:
-            self.answer(held, 503, b"Retry-After: %.3f\r\n" % max(wait, MIN_RETRY_AFTER_S))
+        if refused and self.execution_status(pending).allows_refusal:
+            self.answer(pending, 503, b"Retry-After: %.3f\r\n" % max(wait, MIN_RETRY_AFTER_S))
         elif (
-            (last := held.last) is not None
+            (last := pending.last) is not None
             and is_server_error(last.status)
             and last.status not in NEVER_RAN_STATUSES
         ):
-            self.answer(held, last.status, self.lines(last), last.body)
+            self.answer(pending, last.status, self.lines(last), last.body)
         else:
-            self.answer(held, 504 if self.loop.time() >= held.deadline - TIMER_SLACK_S else 502)
+            self.answer(pending, 504 if self.loop.time() >= pending.deadline - TIMER_SLACK_S else 502)
 
     def carry_out(self, a: Output) -> None:
         """Carry out an output of the decisions."""
@@ -291,17 +291,17 @@
                 super().carry_out(a)
 
     def _reject_over_quota(self, output: RejectOverQuota) -> None:
-        held = self._record_refusal(output.request_id, output.reason)
-        if held is not None:
+        pending = self._record_refusal(output.request_id, output.reason)
+        if pending is not None:
             retry_after_s = max(output.retry_after_s, MIN_QUOTA_RETRY_AFTER_S)
-            self.answer(held, HTTPStatus.TOO_MANY_REQUESTS, b"Retry-After: %.3f\r\n" % retry_after_s)
+            self.answer(pending, HTTPStatus.TOO_MANY_REQUESTS, b"Retry-After: %.3f\r\n" % retry_after_s)
 
     def _record_refusal(self, request_id: str, reason: str) -> PendingRequest | None:
         """Note the reason of a refusal in the request's history; the request, if it is still pending."""
-        held = self.held.get(request_id)
-        if held is not None:
-            held.attempt_history.append((self.loop.time(), reason))
-        return held
+        pending = self.pending.get(request_id)
+        if pending is not None:
+            pending.attempt_history.append((self.loop.time(), reason))
+        return pending
 
     # Events of the other planes.
 
@@ -343,6 +343,6 @@
                 self.serving.discard(name)
                 self.upstream.close_idle(name)
         is_starting = slow_start_left_s > 0
-        born = self.now() + slow_start_left_s - self.settings.cold_time if is_starting else 0.0
+        born = self.now() + slow_start_left_s - self.settings.slow_start_s if is_starting else 0.0
         entry = io.BackendEntry(name, phase, float(capacity), born=born, zone=zone)
         self.submit(BackendsChanged(service, (entry,)))  # type: ignore[arg-type]
--- a/gateway/proxy/service.py
+++ b/gateway/proxy/service.py
@@ -44,7 +44,7 @@
         may_cancel=True,
         max_attempts=MAX_ATTEMPTS,
         start_capacity=SLOW_START_CAPACITY,
-        cold_time=SLOW_START_S,
+        slow_start_s=SLOW_START_S,
         zone=zone,
         connect_timeout=connect_timeout,
         load_in_answers=True,
@@ -91,9 +91,8 @@
         self.foreign_loads: dict[str, ForeignLoad] = {}  # by backend
         self.step = LATENCY_RATIO_STEP
         self.work = INITIAL_WORK_S  # mean seconds of work of any request here
-        self.usual_foreign_load = (
-            INITIAL_FOREIGN_LOAD  # mean requests of others at a backend that isn't this ingress's
-        )
+        # Mean requests of others at a backend that isn't this ingress's.
+        self.usual_foreign_load = INITIAL_FOREIGN_LOAD
         self.own_backends: frozenset[str] = frozenset()  # backends that this ingress prefers
 
     def learn_route(self, cls: io.ClassSettings, target_latency: float, tenant: str) -> None:
@@ -111,71 +110,73 @@
                     self.rejection_share[cls.name] = 0.0
                 self.rejection_share[key] = 0.0
 
-    def late(self, now: float, f: ActiveRequest) -> bool:
+    def late(self, now: float, request: ActiveRequest) -> bool:
         """Whether a request that can't be sent now is too late to be queued.
 
         It is as well if no backend can become free for it: it has been at each usable one already, or there
         is none.
         """
-        left = any(b.usable and b.entry.backend not in f.bad for b in self.fleet.backends.values())
-        return not left or super().late(now, f)
+        left = any(b.usable and b.entry.backend not in request.bad for b in self.fleet.backends.values())
+        return not left or super().late(now, request)
 
-    def send(self, now: float, f: ActiveRequest) -> None:
+    def send(self, now: float, request: ActiveRequest) -> None:
         """Send a request; a free slot goes to a queued one first if that is more urgent."""
-        if self.queue and self.queue[0].value > f.value and self.limit.allows(now):
-            bisect.insort_right(self.queue, f, key=lambda g: -g.value)
+        if self.queue and self.queue[0].value > request.value and self.limit.allows(now):
+            bisect.insort_right(self.queue, request, key=lambda g: -g.value)
             self.review(now)
         else:
-            super().send(now, f)
+            super().send(now, request)
 
     def review(self, now: float) -> None:
         """Send the queued requests that can be sent now, and refuse those that have become late."""
         queued = self.queue
         self.queue = []
-        for f in queued:
-            if f.req.id in self.active_requests:
-                super().send(now, f)
+        for request in queued:
+            if request.req.id in self.active_requests:
+                super().send(now, request)
 
     # The choice of a backend.
 
-    def cost(self, now: float, f: ActiveRequest, b: Backend) -> float:
+    def cost(self, now: float, request: ActiveRequest, backend: Backend) -> float:
         """The relative time that a request is expected to take at a backend: its work, and the queue ahead.
 
         Each ingress prefers backends of its own, so that two ingresses rarely choose the same free one. The
         load of others at a backend is known from its last response, and soon only by what is usual there.
         """
-        slots = max(1.0, b.entry.weight)
-        foreign_load = self.foreign_loads.get(b.entry.backend)
+        slots = max(1.0, backend.entry.weight)
+        foreign_load = self.foreign_loads.get(backend.entry.backend)
         foreign = (
             self.usual_foreign_load
             if foreign_load is None
             else foreign_load.estimate(now, self.usual_foreign_load)
         )
-        ahead = expected_queue(len(b.out), foreign, int(slots)) / slots
+        ahead = expected_queue(len(backend.out), foreign, int(slots)) / slots
         # Mean work of a queued request, relative to this one's.
-        relative_work = min(MAX_WORK_RATIO, self.work / self.base[f.cls.name])
-        cost = self.slowness(b) * (1 + ahead * relative_work)
-        if b.entry.backend not in self.own_backends:
+        relative_work = min(MAX_WORK_RATIO, self.work / self.base[request.cls.name])
+        cost = self.slowness(backend) * (1 + ahead * relative_work)
+        if backend.entry.backend not in self.own_backends:
             cost *= FOREIGN_BACKEND_COST
-        return cost * REMOTE_ZONE_COST if b.entry.zone != self.s.zone else cost
+        return cost * REMOTE_ZONE_COST if backend.entry.zone != self.s.zone else cost
 
-    def judge(self, now: float, b: Backend, e: io.AttemptEnded, name: str, plan: str) -> None:
+    def judge(self, now: float, backend: Backend, event: io.AttemptEnded, name: str, plan: str) -> None:
         """Learn from an ended attempt, here also from the load that its response reports."""
-        if "inflight" in e.load:
-            reported = max(0.0, e.load["inflight"] - len(b.out))
-            foreign_load = self.foreign_loads.get(b.entry.backend)
+        if "inflight" in event.load:
+            reported = max(0.0, event.load["inflight"] - len(backend.out))
+            foreign_load = self.foreign_loads.get(backend.entry.backend)
             if foreign_load is None:
-                foreign_load = self.foreign_loads[b.entry.backend] = ForeignLoad(self.usual_foreign_load)
+                foreign_load = self.foreign_loads[backend.entry.backend] = ForeignLoad(
+                    self.usual_foreign_load
+                )
             foreign_load.on_report(now, reported)
-            self.work += WORK_STEP * (e.elapsed - self.work)
-            if b.entry.backend not in self.own_backends:
+            self.work += WORK_STEP * (event.elapsed - self.work)
+            if backend.entry.backend not in self.own_backends:
                 self.usual_foreign_load += USUAL_LOAD_STEP * (reported - self.usual_foreign_load)
-        super().judge(now, b, e, name, plan)
+        super().judge(now, backend, event, name, plan)
 
-    def listed(self, now: float, e: io.ListUpdate) -> None:
+    def listed(self, now: float, event: io.ListUpdate) -> None:
         """Apply changes of the backends, and adjust the limits of the concurrency limit to their number."""
-        super().listed(now, e)
-        for entry in e.entries:
+        super().listed(now, event)
+        for entry in event.entries:
             if entry.phase is io.Phase.DELETED:
                 self.foreign_loads.pop(entry.backend, None)
         weights = [b.entry.weight for b in self.fleet.backends.values() if b.usable]
@@ -199,38 +200,42 @@
             if zone_ingresses and (i + first) % zone_ingresses == index_in_zone
         )
 
-    def movable(self, now: float, f: ActiveRequest) -> bool:
+    def movable(self, now: float, request: ActiveRequest) -> bool:
         """Whether a request may be moved to another backend.
 
         Not if its body is streamed or no other usable backend is left, as cancelling would then only end its
         response.
         """
-        name = f.req.id
+        name = request.req.id
         return (
-            not f.req.flows
-            and super().movable(now, f)
+            not request.req.flows
+            and super().movable(now, request)
             and any(
-                b.usable and name not in b.out and b.entry.backend not in f.bad
+                b.usable and name not in b.out and b.entry.backend not in request.bad
                 for b in self.fleet.backends.values()
             )
         )
 
-    def refusal_reason(self, f: ActiveRequest) -> str:
+    def refusal_reason(self, request: ActiveRequest) -> str:
         """Why a request that has not run is refused."""
-        if f.attempts:
+        if request.attempts:
             return "turned away by backends"
         return "no slot in time" if self.fleet.usable else "no backend known"
 
-    def refuse(self, now: float, f: ActiveRequest, wait: float) -> None:
+    def refuse(self, now: float, request: ActiveRequest, wait: float) -> None:
         """Give a request up; the client may retry after `wait` seconds."""
-        self.give_up(now, f, wait)
+        self.give_up(now, request, wait)
 
-    def occupy(self, now: float, f: ActiveRequest, b: Backend) -> None:
+    def occupy(self, now: float, request: ActiveRequest, backend: Backend) -> None:
         """Count an attempt against the retry budget, and take a slot at the backend."""
-        self.budget.count(now, f.attempts > 1)
-        super().occupy(now, f, b)
+        self.budget.count(now, request.attempts > 1)
+        super().occupy(now, request, backend)
 
-    def may_send(self, now: float, f: ActiveRequest, ran_at: float | None) -> bool:
+    def may_send(self, now: float, request: ActiveRequest, ran_at: float | None) -> bool:
         """Whether an attempt is allowed: by the route's number of tries, in general, and by the budget."""
-        route: Route = f.req.about.route
-        return f.attempts < route.tries and super().may_send(now, f, ran_at) and self.budget.allows(now)
+        route: Route = request.req.about.route
+        return (
+            request.attempts < route.tries
+            and super().may_send(now, request, ran_at)
+            and self.budget.allows(now)
+        )
--- a/gateway/quota/window.py
+++ b/gateway/quota/window.py
@@ -6,9 +6,8 @@
 from typing import NamedTuple
 
 MIN_WINDOW_S = 0.5  # shortest window
-STEADY_RATE_FRACTION = (
-    0.96  # of the rate that a tenant without a burst gets in the long run: the rest is for shares
-)
+# Of the rate that a tenant without a burst gets in the long run: the rest is for shares.
+STEADY_RATE_FRACTION = 0.96
 
 
 class Window(NamedTuple):
--- a/gateway/runtime/http_listener.py
+++ b/gateway/runtime/http_listener.py
@@ -77,7 +77,7 @@
         """The caller has disconnected: its answer will be dropped."""
         self.pending.pop(id(call), None)
 
-    def whole(self, call: ClientRequest) -> None:
+    def upload_received(self, call: ClientRequest) -> None:
         """A streamed body has arrived. Nothing to do: such calls were refused by `take`."""
 
     def abort_request(self, call: ClientRequest, status: int) -> None:
--- a/ingress/__main__.py
+++ b/ingress/__main__.py
@@ -225,7 +225,7 @@
         log.info("%s", plan)
     gc.freeze()  # objects made at start-up live as long as the process
     await stop.wait()
-    log.info("%s stops: %d requests held", config.name, len(ingress.held))
+    log.info("%s stops: %d requests pending", config.name, len(ingress.pending))
     await server.leave()
     discovery.close()
     if ingress.counter is not None:
--- a/ingress/customer.py
+++ b/ingress/customer.py
@@ -9,10 +9,10 @@
 
 from ingress import interface as io
 
-UNKNOWN = 0.8  # fraction of the burst taken as left over from a window of which nothing was seen
+ASSUMED_CARRYOVER = 0.8  # fraction of the burst taken as left over from a window of which nothing was seen
 EXCESS_S = 0.3  # after which a total's excess that no peer has reported was a charge that was added back
-PART = 0.2  # weight of a new total in a customer's local part
-KEPT_LENGTHS = 6.0  # windows after which an idle customer is forgotten: its bucket has long been full
+LOCAL_SHARE_STEP = 0.2  # weight of a new total in a customer's local part
+RETENTION_WINDOWS = 6.0  # windows after which an idle customer is forgotten: its bucket has long been full
 
 
 def mix(a: int, b: int) -> int:
@@ -27,37 +27,37 @@
     """
 
     __slots__ = (
+        "arrivals_at",
         "at",
         "born",
-        "came",
-        "came_at",
+        "cap_full_at",
         "chance",
         "counted",
         "counted_in",
         "excess",
         "excess_at",
         "first",
-        "heard",
-        "heard_in",
         "key",
         "known",
         "length",
         "level",
         "level_from_peer",
-        "mine",
         "out",
+        "own_total",
         "own_total_sent",
+        "own_units_in_total",
         "part",
         "peer_totals",
+        "peer_units",
+        "peer_units_window",
         "pending",
         "phase",
         "plan",
-        "pressed",
         "rate",
         "rate_at",
         "rate_part",
+        "recent_arrivals",
         "seen",
-        "told",
         "total",
         "units_in_flight",
         "unreported_arrivals",
@@ -73,20 +73,20 @@
         self.phase = mix(key, 0) / (1 << 63) * self.length  # customers' windows begin at different times
         self.window = -1
         self.total = 0.0
-        self.told = 0.0  # own units in the total
+        self.own_units_in_total = 0.0  # own units in the total
         # units reported by peers, and in which window
-        self.heard = 0.0
-        self.heard_in = -1
+        self.peer_units = 0.0
+        self.peer_units_window = -1
         # of the total over both, taken off the level; since when
         self.excess = 0.0
         self.excess_at = 0.0
         # quarter units admitted here, and as last sent to peers
-        self.mine = 0
+        self.own_total = 0
         self.own_total_sent = 0
         self.peer_totals: dict[int, int] = {}  # the same of each peer
         # Without history the bucket counts as full; under a ceiling it holds what a full quota cannot have
         # spent, so that a restart in a counter outage does not grant the ceiling twice.
-        spent = plan.rate / plan.ceiling_rate if plan.ceiling_rate > 0 else 0.0
+        spent = plan.rate / plan.limit_rate if plan.limit_rate > 0 else 0.0
         self.level = plan.burst * max(0.0, 1 - spent)
         self.at = now
         self.first = 0
@@ -103,10 +103,10 @@
         self.out = 0  # requests open here or about to be; next, how many of them are counted, in which window
         self.counted = 0
         self.counted_in = -1
-        self.pressed = -math.inf  # when a total last showed the cap to be full
+        self.cap_full_at = -math.inf  # when a total last showed the cap to be full
         # decaying count of recent requests, as of then
-        self.came = 0.0
-        self.came_at = now
+        self.recent_arrivals = 0.0
+        self.arrivals_at = now
         self.unreported_arrivals = 0  # of them, not yet added to the count
         # a second at all ingresses, by a total
         self.rate = 0.0
@@ -143,8 +143,8 @@
         """Take units admitted at a peer off the level, as far as no total has contained them already."""
         covered = min(max(0.0, self.excess), max(0.0, units))
         window = self.window_number(now)
-        self.heard = units + (self.heard if self.heard_in == window else 0.0)
-        self.heard_in = window
+        self.peer_units = units + (self.peer_units if self.peer_units_window == window else 0.0)
+        self.peer_units_window = window
         self.excess -= covered
         self.use(now, units - covered)
 
@@ -183,18 +183,23 @@
             if self.window < window - 1 and not total_is_covered(now, self):
                 # No history here: a fraction of the burst is taken as carried over.
                 since = now + self.phase - window * self.length
-                self.level = UNKNOWN * self.plan.burst + self.plan.rate * since
+                self.level = ASSUMED_CARRYOVER * self.plan.burst + self.plan.rate * since
                 self.at = now
             elif self.excess > 0 and total_is_covered(now, self):
                 self.level = self.available_units(now) + self.excess
                 self.at = now
             self.window = window
-            self.told = 0.0
+            self.own_units_in_total = 0.0
             self.excess = 0.0
-        self.told = self.told + units
+        self.own_units_in_total = self.own_units_in_total + units
         self.total = total
-        self.part += PART * (min(1.0, max(0.0, self.told) / max(total, 1e-9)) - self.part)
-        excess = max(0.0, total - self.told - (self.heard if self.heard_in == window else 0.0))
+        self.part += LOCAL_SHARE_STEP * (
+            min(1.0, max(0.0, self.own_units_in_total) / max(total, 1e-9)) - self.part
+        )
+        excess = max(
+            0.0,
+            total - self.own_units_in_total - (self.peer_units if self.peer_units_window == window else 0.0),
+        )
         self.level = self.available_units(now) - (excess - self.excess)
         self.at = now
         self.excess = excess
@@ -207,20 +212,20 @@
     def __init__(self, settings: io.Settings) -> None:
         self.known = OrderedDict[int, Customer]()  # the longest idle first
         lengths = (p.burst / p.rate for p in settings.plans if p.rate > 0)
-        self.kept = KEPT_LENGTHS * max(lengths, default=1.0)  # seconds
+        self.retention_s = RETENTION_WINDOWS * max(lengths, default=1.0)  # seconds
 
     def get_or_create(self, now: float, key: int, plan: io.PlanSettings) -> Customer:
         """A customer, created if it isn't known."""
-        c = self.known.get(key)
-        if c is None:
-            c = self.known[key] = Customer(key, plan, now)
+        customer = self.known.get(key)
+        if customer is None:
+            customer = self.known[key] = Customer(key, plan, now)
         else:
             self.known.move_to_end(key)
-        c.seen = now
-        while (first := next(iter(self.known.values()))).seen < now - self.kept:
+        customer.seen = now
+        while (first := next(iter(self.known.values()))).seen < now - self.retention_s:
             if first.units_in_flight > 0 or first.out > 0:
                 first.seen = now
                 self.known.move_to_end(first.key)
             else:
                 del self.known[first.key]
-        return c
+        return customer
--- a/ingress/fleet.py
+++ b/ingress/fleet.py
@@ -28,9 +28,8 @@
         # a random start: small gains might never reach a token
         self.tokens = phase
         self.tokens_at = now
-        self.rejection_share: dict[
-            str, tuple[float, float]
-        ] = {}  # by class and plan: rejected (1) or served (0), and when
+        # By class and plan: rejected (1) or served (0), and when.
+        self.rejection_share: dict[str, tuple[float, float]] = {}
 
     def overdue(self, now: float, latency: Mapping[str, float], slow: float) -> float:
         """The time for which answers are outstanding, each in multiples of its usual latency, summed up.
@@ -52,88 +51,93 @@
         self.rng = rng
         self.backends: dict[str, Backend] = {}
         self.usable = 0
-        self.cordon_entries: dict[
-            str, io.CordonEntry
-        ] = {}  # by backend; an uncordoned one stays while it may be cold
+        # By backend; an uncordoned one stays while it may be cold.
+        self.cordon_entries: dict[str, io.CordonEntry] = {}
 
     def members(self, now: float) -> tuple[int, int]:
         """How many backends are listed, and how many of those are avoided now."""
         listed = [b for b in self.backends.values() if b.entry.phase is not io.Phase.DELETED]
         return len(listed), sum(not b.usable or b.trial or now < b.resting for b in listed)
 
-    def cold(self, now: float, b: Backend) -> float:
+    def slow_start_capacity(self, now: float, backend: Backend) -> float:
         """The fraction of its capacity that a backend surely has by the time since its start (slow start)."""
-        grown = (now - b.start) / self.s.cold_time if b.start > 0 and self.s.cold_time > 0 else 1.0
+        grown = (
+            (now - backend.start) / self.s.slow_start_s
+            if backend.start > 0 and self.s.slow_start_s > 0
+            else 1.0
+        )
         return min(1.0, self.s.start_capacity + (1 - self.s.start_capacity) * max(0.0, grown))
 
-    def eject(self, now: float, b: Backend, why: str) -> list[io.Action]:
+    def eject(self, now: float, backend: Backend, why: str) -> list[io.Action]:
         """Outlier ejection: no attempts for a while, then one trial at a time; part of the fleet is kept."""
         resting = sum(1 for x in self.backends.values() if x.usable and now < x.resting)
-        if now < b.resting or resting + 1 > (1 - KEEP_SHARE) * self.usable:
+        if now < backend.resting or resting + 1 > (1 - KEEP_SHARE) * self.usable:
             return []
-        b.resting = now + EJECT_S
-        b.trial = True
-        return [io.Log(f"ejected {b.entry.backend}: {why}")]
+        backend.resting = now + EJECT_S
+        backend.trial = True
+        return [io.Log(f"ejected {backend.entry.backend}: {why}")]
 
-    def listed(self, now: float, e: io.ListUpdate) -> None:
+    def listed(self, now: float, event: io.ListUpdate) -> None:
         """Apply a backend list: no attempts to draining or deleted backends, slow start for new ones."""
-        for entry in e.entries:
+        for entry in event.entries:
             known = self.backends.get(entry.backend)
             if known is None or entry.born != known.entry.born:  # new or restarted
                 known = self.backends[entry.backend] = self.anew(now, entry)
             known.entry = entry
-        if e.kind is not io.ListKind.CHANGE:
-            for name in self.backends.keys() - {entry.backend for entry in e.entries}:
+        if event.kind is not io.ListKind.CHANGE:
+            for name in self.backends.keys() - {entry.backend for entry in event.entries}:
                 self.backends[name].entry = self.backends[name].entry._replace(phase=io.Phase.DELETED)
         self.backends = {
             n: b
             for n, b in self.backends.items()  # deleted, with no attempt in flight
             if b.out or b.entry.phase is not io.Phase.DELETED
         }
-        self.settle()
+        self.update_usable()
 
     def anew(self, now: float, entry: io.BackendEntry) -> Backend:
         """A backend about which nothing is known except the attempts in flight."""
         known = self.backends.get(entry.backend)
-        b = Backend(entry, now, self.rng.random())
-        b.out = known.out if known else {}
-        return b
+        backend = Backend(entry, now, self.rng.random())
+        backend.out = known.out if known else {}
+        return backend
 
-    def settle(self) -> None:
+    def update_usable(self) -> None:
         """Derive the usable backends and their start times from the list and the cordons."""
-        for name, b in self.backends.items():
+        for name, backend in self.backends.items():
             cordon_entry = self.cordon_entries.get(name)
-            b.usable = b.entry.phase is io.Phase.RUNNING and (cordon_entry is None or cordon_entry.back > 0)
-            b.start = b.entry.born
+            backend.usable = backend.entry.phase is io.Phase.RUNNING and (
+                cordon_entry is None or cordon_entry.back > 0
+            )
+            backend.start = backend.entry.born
             if (
-                cordon_entry is not None and b.start < cordon_entry.since
+                cordon_entry is not None and backend.start < cordon_entry.since
             ):  # restarted while cordoned; the list may be late
-                b.start = max(b.start, cordon_entry.back)
+                backend.start = max(backend.start, cordon_entry.back)
         self.usable = sum(b.usable for b in self.backends.values())
 
-    def cordon(self, now: float, e: io.Cordon) -> list[io.Action]:
+    def cordon(self, now: float, event: io.Cordon) -> list[io.Action]:
         """Cordon a backend, or uncordon it; a repeated command changes nothing."""
-        cordon_entry = self.cordon_entries.get(e.backend)
-        known = self.backends.get(e.backend)
+        cordon_entry = self.cordon_entries.get(event.backend)
+        known = self.backends.get(event.backend)
         if cordon_entry is None and (known is None or known.entry.phase is io.Phase.DELETED):
-            return [io.UnknownBackend(e.backend)]
+            return [io.UnknownBackend(event.backend)]
         out = cordon_entry is not None and cordon_entry.back == 0
-        if e.on and not out:
-            self.cordon_entries[e.backend] = io.CordonEntry(now)
-        elif not e.on and cordon_entry is not None and out:
-            self.cordon_entries[e.backend] = cordon_entry._replace(back=now)
+        if event.on and not out:
+            self.cordon_entries[event.backend] = io.CordonEntry(now)
+        elif not event.on and cordon_entry is not None and out:
+            self.cordon_entries[event.backend] = cordon_entry._replace(back=now)
             if known is not None:  # what was learnt of it no longer applies
-                self.backends[e.backend] = self.anew(now, known.entry)
+                self.backends[event.backend] = self.anew(now, known.entry)
         self.cordon_entries = {
-            n: b for n, b in self.cordon_entries.items() if b.back == 0 or now < b.back + self.s.cold_time
+            n: b for n, b in self.cordon_entries.items() if b.back == 0 or now < b.back + self.s.slow_start_s
         }
-        self.settle()
-        return [*([io.CloseIdle(e.backend)] if e.on else []), io.Cordons(dict(self.cordon_entries))]
+        self.update_usable()
+        return [*([io.CloseIdle(event.backend)] if event.on else []), io.Cordons(dict(self.cordon_entries))]
 
     def restore(self, cordon_entries: Mapping[str, io.CordonEntry]) -> list[io.Action]:
         """Adopt the cordons that another process of this ingress has stored."""
         self.cordon_entries = dict(cordon_entries)
-        self.settle()
+        self.update_usable()
         return [
             *(io.CloseIdle(name) for name, b in self.cordon_entries.items() if b.back == 0),
             io.Cordons(dict(cordon_entries)),
--- a/ingress/flight.py
+++ b/ingress/flight.py
@@ -13,13 +13,12 @@
         self.req = req
         self.cls = cls
         self.customer = customer
-        self.aim = now + min(cls.objective, req.expires_in)  # answer due; later its client is gone
+        self.due_at = now + min(cls.objective, req.expires_in)  # answer due; later its client is gone
         self.attempts = 0
         self.sent = 0.0
         self.charge = req.units
-        self.share_below_one = (
-            req.units * customer.width > customer.plan.burst
-        )  # an even share is below one request
+        # An even share is below one request.
+        self.share_below_one = req.units * customer.width > customer.plan.burst
         self.ran_at: float | None = None  # send time of the earliest attempt that may have run, and where
         self.ran_on: io.BackendEntry | None = None
         self.charged_units = 0.0  # units taken off the bucket
--- a/ingress/gossip.py
+++ b/ingress/gossip.py
@@ -43,11 +43,11 @@
         self.last_heard_from = dict.fromkeys(range(settings.instances), 0.0)  # by peer
         self.plan_numbers = {p.name: n for n, p in enumerate(settings.plans)}
 
-    def record_admission(self, c: Customer, units: float) -> None:
+    def record_admission(self, customer: Customer, units: float) -> None:
         """Note units admitted here, to be reported."""
-        if self.enabled and c.width <= c.plan.burst:
-            c.mine += round(4 * units)
-            self.unsent_usage[c.key] = c
+        if self.enabled and customer.width <= customer.plan.burst:
+            customer.own_total += round(4 * units)
+            self.unsent_usage[customer.key] = customer
 
     def due_messages(self, now: float) -> list[io.Action]:
         """The usage reports that are due; what exceeds the rate limit stays for the next time."""
@@ -62,24 +62,24 @@
             for n in range(0, len(waiting), USAGE_ENTRIES_MAX)
         ]
 
-    def encode_usage(self, now: float, c: Customer) -> bytes:
+    def encode_usage(self, now: float, customer: Customer) -> bytes:
         """One customer's entry in a usage report."""
-        del self.unsent_usage[c.key]
-        new = max(-128, min(127, c.mine - c.own_total_sent))
-        c.own_total_sent = c.mine
-        name = c.key << 7 | self.plan_numbers[c.plan.name]
-        level = max(-LEVELS, min(LEVELS, LEVELS * c.available_units(now) / c.plan.burst))
-        return USAGE_FORMAT.pack(name.to_bytes(5), c.mine & 0xFFFF, new, round(level))
+        del self.unsent_usage[customer.key]
+        new = max(-128, min(127, customer.own_total - customer.own_total_sent))
+        customer.own_total_sent = customer.own_total
+        name = customer.key << 7 | self.plan_numbers[customer.plan.name]
+        level = max(-LEVELS, min(LEVELS, LEVELS * customer.available_units(now) / customer.plan.burst))
+        return USAGE_FORMAT.pack(name.to_bytes(5), customer.own_total & 0xFFFF, new, round(level))
 
-    def handle_peer_message(self, now: float, e: io.PeerMessage) -> None:
+    def handle_peer_message(self, now: float, event: io.PeerMessage) -> None:
         """Process a peer's usage report or its notice of a used-up window; old windows are forgotten."""
-        self.last_heard_from[e.sender] = now
-        if e.payload[:1] == USAGE_PREFIX and len(e.payload) % USAGE_FORMAT.size == 1 and self.enabled:
-            for name, total, new, level in USAGE_FORMAT.iter_unpack(e.payload[1:]):
-                self.add_peer_usage(now, e.sender, int.from_bytes(name), total, new, level / LEVELS)
+        self.last_heard_from[event.sender] = now
+        if event.payload[:1] == USAGE_PREFIX and len(event.payload) % USAGE_FORMAT.size == 1 and self.enabled:
+            for name, total, new, level in USAGE_FORMAT.iter_unpack(event.payload[1:]):
+                self.add_peer_usage(now, event.sender, int.from_bytes(name), total, new, level / LEVELS)
             return
-        self.spent[e.payload] = now + self.customers.kept
-        self.spent.move_to_end(e.payload)
+        self.spent[event.payload] = now + self.customers.retention_s
+        self.spent.move_to_end(event.payload)
         while self.spent[first := next(iter(self.spent))] < now:
             del self.spent[first]
 
@@ -91,25 +91,32 @@
         plan = self.plans[name & 127] if name & 127 < len(self.plans) else None
         if plan is None or plan.rate <= 0:
             return
-        c = self.customers.get_or_create(now, name >> 7, plan)
-        more = (total - c.peer_totals.get(peer, total - new) + 0x8000) % 0x10000 - 0x8000
-        if not -8 * self.s.max_units <= more <= 8 * c.plan.burst:
+        customer = self.customers.get_or_create(now, name >> 7, plan)
+        more = (total - customer.peer_totals.get(peer, total - new) + 0x8000) % 0x10000 - 0x8000
+        if not -8 * self.s.max_units <= more <= 8 * customer.plan.burst:
             more = new
-        c.peer_totals[peer] = total
-        c.add_peer_usage(now, more / 4)
-        if not c.level_from_peer and now - self.began < self.customers.kept:
-            c.level_from_peer, c.level, c.at = True, min(c.available_units(now), level * c.plan.burst), now
+        customer.peer_totals[peer] = total
+        customer.add_peer_usage(now, more / 4)
+        if not customer.level_from_peer and now - self.began < self.customers.retention_s:
+            customer.level_from_peer, customer.level, customer.at = (
+                True,
+                min(customer.available_units(now), level * customer.plan.burst),
+                now,
+            )
 
-    def all_peers_reachable(self, now: float, c: Customer) -> bool:
+    def all_peers_reachable(self, now: float, customer: Customer) -> bool:
         """Whether all ingresses of the customer's set are heard: its bucket is then known without calls."""
-        peers = (i % self.s.instances for i in range(c.first, c.first + c.width))
+        peers = (i % self.s.instances for i in range(customer.first, customer.first + customer.width))
         since = now - (PEER_SILENT_S if self.call_policy.counter_down() else PEER_GONE_S)
         return (
             self.enabled
-            and c.width <= c.plan.burst
+            and customer.width <= customer.plan.burst
             and all(i == self.s.me or self.last_heard_from[i] > since for i in peers)
         )
 
-    def total_is_covered(self, now: float, c: Customer) -> bool:
+    def total_is_covered(self, now: float, customer: Customer) -> bool:
         """Whether all usage in the current window's total must also have been reported by peers."""
-        return self.all_peers_reachable(now, c) and c.born <= c.window_number(now) * c.length - c.phase
+        return (
+            self.all_peers_reachable(now, customer)
+            and customer.born <= customer.window_number(now) * customer.length - customer.phase
+        )
--- a/ingress/interface.py
+++ b/ingress/interface.py
@@ -26,7 +26,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a health check or a counter call ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -53,7 +53,7 @@
     """What a `ListUpdate` holds: a change, the whole list, a saved copy, or nothing as the fetch failed."""
 
     CHANGE = "change"
-    WHOLE = "whole"
+    FULL = "whole"
     SAVED = "saved"
     FAILED = "failed"
 
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanSettings:
-    """One plan: quota (units a second, burst in units), ceiling (a second token bucket) and price.
+    """One plan: quota (units a second, burst in units), limit (a second token bucket) and price.
 
     A rate of 0 is no quota; `max_open` caps a customer's open requests, 0 is no cap.
     """
@@ -106,9 +106,9 @@
     over_worth: float = 0.0
     over_cost: float = 0.0
     max_open: int = 0
-    ceiling_rate: float = 0.0
-    ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
+    limit_rate: float = 0.0
+    limit_burst: float = 0.0
+    limit_slack: float = 0.0
 
     def __post_init__(self) -> None:
         _not_negative(
@@ -120,9 +120,9 @@
             "over_worth",
             "over_cost",
             "max_open",
-            "ceiling_rate",
-            "ceiling_burst",
-            "ceiling_slack",
+            "limit_rate",
+            "limit_burst",
+            "limit_slack",
         )
 
 
@@ -144,25 +144,25 @@
     max_attempts: int = 1
     retry_after: bool = False
     max_retry_after: float = 0.0
-    may_probe: bool = False
+    may_check_health: bool = False
     may_cancel: bool = False
     peers: bool = False
     peer_in_per_s: float = 0.0
     second_copies: bool = False
     list_on_request: bool = False
-    ask_every: float = 10.0
+    list_poll_interval: float = 10.0
     load_in_answers: bool = False
     load_in_probes: bool = False
     drain_grace: float = 0.0
     fall_multiple: float = 1.0
     fall_after: float = 1.0
     start_capacity: float = 1.0
-    cold_time: float = 0.0
+    slow_start_s: float = 0.0
     connect_timeout: float = 0.0
     late_fail_price: float = 0.0
     waste_price: float = 0.0
     cross_zone_price: float = 0.0
-    probe_price: float = 0.0
+    health_check_price: float = 0.0
 
     def __post_init__(self) -> None:
         _need(len(self.classes) > 0, "classes", "at least one class", self.classes)
@@ -179,17 +179,17 @@
             "max_units",
             "max_retry_after",
             "peer_in_per_s",
-            "ask_every",
+            "list_poll_interval",
             "drain_grace",
             "fall_multiple",
             "fall_after",
             "start_capacity",
-            "cold_time",
+            "slow_start_s",
             "connect_timeout",
             "late_fail_price",
             "waste_price",
             "cross_zone_price",
-            "probe_price",
+            "health_check_price",
         )
 
 
@@ -279,8 +279,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeEnded:
-    """A probe has ended."""
+class HealthCheckEnded:
+    """A health check has ended."""
 
     backend: str
     outcome: Outcome
@@ -338,7 +338,7 @@
     AttemptEnded,
     ClientGone,
     TimerFired,
-    ProbeEnded,
+    HealthCheckEnded,
     PeerMessage,
     CounterReply,
     Cordon,
@@ -383,8 +383,8 @@
     token: int
 
 
-class Probe(NamedTuple):
-    """Probe a backend."""
+class HealthCheck(NamedTuple):
+    """Check the health and load of a backend."""
 
     backend: str
 
@@ -438,7 +438,7 @@
     Refuse,
     Fail,
     SetTimer,
-    Probe,
+    HealthCheck,
     CloseIdle,
     SendPeerMessage,
     CounterAdd,
--- a/ingress/net/client.py
+++ b/ingress/net/client.py
@@ -8,7 +8,7 @@
 
 from ingress.net.client_connection_base import FLOW_STALL_S
 from ingress.net.connection_interfaces import ConnectionServer, ImmediateResponse
-from ingress.net.http_messages import BLANKS, MAX_WHOLE, ClientRequest
+from ingress.net.http_messages import BLANKS, MAX_BUFFERED_BODY, ClientRequest
 from ingress.net.request_parser import BadRequest
 from ingress.net.response_queue import ResponseQueue
 from ingress.net.upload import Upload
@@ -39,7 +39,7 @@
         self.parser = httptools.HttpRequestParser(self)
         self.upload_call: ClientRequest | None = None  # the one whose body is being streamed in
         self.reserved = 0  # bytes of the shared buffer for the body that is being received
-        self.held_since = 0.0  # when reading of its body was suspended; 0: it is being read
+        self.reading_suspended_at = 0.0  # when reading of its body was suspended; 0: it is being read
         self.paused = False
         self.crowded = False
         self.heard = next(server.order)
@@ -182,8 +182,8 @@
             self.body = bytearray()
 
     def may_buffer(self, size: int) -> bool:
-        """Whether a body of `size` bytes may be buffered; beyond `MAX_WHOLE`, all bodies share one limit."""
-        if size <= max(MAX_WHOLE, self.reserved):
+        """Whether a body of `size` bytes may be buffered; above that, all bodies share one limit."""
+        if size <= max(MAX_BUFFERED_BODY, self.reserved):
             return True
         more = size - self.reserved
         if size > self.server.limits.hold or not self.server.room(more):
@@ -215,7 +215,7 @@
         self.upload_call = None
         if call is not None and call.upload is not None:
             self.hold(False)
-            self.server.request_handler.whole(call)
+            self.server.request_handler.upload_received(call)
             call.upload.finish()
             if call.upload.unwanted:  # it has been answered already
                 self.close()
@@ -230,16 +230,16 @@
 
     def hold(self, on: bool) -> None:
         """Suspend reading (`on`), as the body's next hop is behind or not known yet, or resume it."""
-        if on and not self.held_since:
-            self.held_since = self.loop.time()
-        elif not on and self.held_since:
-            self.due += self.loop.time() - self.held_since  # the client couldn't send meanwhile
-            self.held_since = 0.0
+        if on and not self.reading_suspended_at:
+            self.reading_suspended_at = self.loop.time()
+        elif not on and self.reading_suspended_at:
+            self.due += self.loop.time() - self.reading_suspended_at  # the client couldn't send meanwhile
+            self.reading_suspended_at = 0.0
         self.regulate()
 
     def regulate(self) -> None:
         """Pause or resume reading, by the number of requests read ahead and the state of the upload."""
-        want = self.discarding_input or not (self.held_since or len(self.waiting) > PIPELINE)
+        want = self.discarding_input or not (self.reading_suspended_at or len(self.waiting) > PIPELINE)
         if self.transport is None or self.closing or want is not self.paused:
             return
         self.paused = not want
@@ -285,7 +285,7 @@
         """Close, unless the rest of a body has to be read first so that the client reads its response."""
         if any(item is self.upload_call for item, _ in self.waiting):  # it is after the last response
             self.upload_call = None
-            self.held_since = 0.0
+            self.reading_suspended_at = 0.0
             self.discarding_input = True
             self.size = 0
             self.regulate()
@@ -316,8 +316,8 @@
 
     def close_when_idle(self, now: float) -> None:
         """Enforce the time limits of a request being received: of its head, and of its body by rate."""
-        if self.held_since:
-            if now - self.held_since > FLOW_STALL_S and self.upload_call is not None:
+        if self.reading_suspended_at:
+            if now - self.reading_suspended_at > FLOW_STALL_S and self.upload_call is not None:
                 self.server.request_handler.upload_stalled(self.upload_call)
         elif now > self.due and not self.discarding_input and not self.unread():
             self.fault(408, "the request did not come whole in time")
--- a/ingress/net/connection_interfaces.py
+++ b/ingress/net/connection_interfaces.py
@@ -53,7 +53,7 @@
     def gone(self, call: ClientRequest) -> None:
         """The client has disconnected before its response was complete."""
 
-    def whole(self, call: ClientRequest) -> None:
+    def upload_received(self, call: ClientRequest) -> None:
         """The streamed body of a request has been received completely."""
 
     def abort_request(self, call: ClientRequest, status: int) -> None:
--- a/ingress/net/counter.py
+++ b/ingress/net/counter.py
@@ -45,9 +45,8 @@
         self.loop = line.counter.loop
         self.transport: asyncio.Transport | None = None
         self.reader = ResponseReader()
-        self.awaiting_reply: deque[Add] = (
-            deque()
-        )  # written; kept past their time, so that late responses are matched to their calls
+        # Written; kept past their time, so that late responses are matched to their calls.
+        self.awaiting_reply: deque[Add] = deque()
         self.heard = 0.0
         self.served = False
         self.retired = False
@@ -276,9 +275,9 @@
     def add(self, name: int, amount: float, lifetime: float) -> None:
         """Add an amount to the number `name`; the addition expires after `lifetime` seconds."""
         now = self.loop.time()
-        life = max(1, min(60_000, round(lifetime * 1000)))
+        lifetime_ms = max(1, min(60_000, round(lifetime * 1000)))
         text = (
-            f"POST /v2/numbers/{name}?delta={amount:.6f}&life_ms={life} HTTP/1.1\r\n"
+            f"POST /v2/numbers/{name}?delta={amount:.6f}&life_ms={lifetime_ms} HTTP/1.1\r\n"
             f"Host: {self.address[0]}:{self.address[1]}\r\nContent-Length: 0\r\n\r\n"
         ).encode()
         add = Add(name, text, now, now + self.timeout)
--- a/ingress/net/discovery.py
+++ b/ingress/net/discovery.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE_S = 3.2  # an empty line comes every 2 s; a change counts as announced 6 s later even if unheard
+IDLE_TIMEOUT_S = 3.2  # an empty line comes every 2 s; a change counts as announced 6 s later even if unheard
 RETRY_S = 0.4  # longest wait after a first failure, doubled with each further one
 RETRY_EACH_S = 0.05  # that wait is at least this for each ingress: all of them lose discovery at once
 RETRY_MOST_S = 6.0  # longest wait: by then a change counts as announced even if unheard
@@ -28,21 +28,21 @@
 
 
 class Listing(NamedTuple):
-    """The `whole` list of backends, or changes to it, of a version; the endpoint of a deleted backend is
+    """The list of backends of a version (`is_full`), or changes to it; the endpoint of a deleted backend is
     None."""
 
     version: int
-    whole: bool
+    is_full: bool
     entries: tuple[tuple[io.BackendEntry, Endpoint | None], ...]
 
 
 def read_listing(message: Any) -> Listing:
     """Read a decoded message of the discovery service. Raises ValueError for anything else."""
     try:
-        whole = message["snapshot"]
-        if not isinstance(whole, bool):
-            raise ValueError(f"snapshot: {whole!r}")
-        return Listing(int(message["index"]), whole, tuple(_entry(e) for e in message["endpoints"]))
+        is_full = message["snapshot"]
+        if not isinstance(is_full, bool):
+            raise ValueError(f"snapshot: {is_full!r}")
+        return Listing(int(message["index"]), is_full, tuple(_entry(e) for e in message["endpoints"]))
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"not a list of backends: {error!r}") from error
 
@@ -86,9 +86,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection is open: send the first request."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's isn't a subclass
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         """Request the whole list, or the changes since the known version."""
         assert self.transport is not None
         what = b"" if self.index is None else b"?stream=1&index=%d" % self.index
@@ -142,7 +142,7 @@
         if self.index is None:
             self.end("no list")
         else:
-            self.ask()
+            self.send_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection is closed."""
@@ -206,11 +206,11 @@
         async with asyncio.timeout(CONNECT_S):
             transport, _ = await self.loop.create_connection(lambda: watch, *self.address)
         try:
-            while (left := watch.heard + SILENCE_S - self.loop.time()) > 0:
+            while (left := watch.heard + IDLE_TIMEOUT_S - self.loop.time()) > 0:
                 done, _ = await asyncio.wait([watch.ended], timeout=left)
                 if done:
                     return watch.ended.result()
-            return f"silent for {SILENCE_S:g} s"
+            return f"silent for {IDLE_TIMEOUT_S:g} s"
         finally:
             if watch.accepted:
                 self.backoff.failures = 0
--- a/ingress/net/http_messages.py
+++ b/ingress/net/http_messages.py
@@ -14,7 +14,7 @@
 from ingress import interface as io
 from ingress.net.upload import Upload
 
-MAX_WHOLE = 64 * 1024  # bytes of a body that is buffered; a larger one is streamed
+MAX_BUFFERED_BODY = 64 * 1024  # bytes of a body that is buffered; a larger one is streamed
 MAX_BODY = 40 * 1024 * 1024  # bytes
 MAX_HEAD = 16 * 1024  # bytes
 BLANKS = b" \t"  # optional whitespace around a header's value
@@ -59,11 +59,11 @@
     @property
     def unfinished(self) -> bool:
         """Whether a part of its body hasn't been received yet."""
-        return self.upload is not None and not self.upload.whole
+        return self.upload is not None and not self.upload.complete
 
     def drop_rest(self) -> None:
         """Discard the rest of its body: it is still read, so that the client reads the response."""
-        if self.upload is not None and not self.upload.whole:
+        if self.upload is not None and not self.upload.complete:
             self.upload.drop()
 
     def message(self, lines: bytes) -> bytes:
@@ -87,9 +87,8 @@
     """How a response ends, as far as its head doesn't say so."""
 
     bodiless: bool = False  # it ends with its head, as the response to a HEAD
-    read_until_close: bool = (
-        False  # without a length it ends with the connection, even if it has no Connection: close
-    )
+    # Without a length it ends with the connection, even if it has no Connection: close.
+    read_until_close: bool = False
 
 
 class BadResponse(Exception):
@@ -141,7 +140,7 @@
             if self.over and not self.partial:  # the parser still expects a body
                 self.parser = httptools.HttpResponseParser(self)
                 self.over = False
-            if self.fed > MAX_WHOLE + MAX_HEAD:  # the parser would buffer an endless head
+            if self.fed > MAX_BUFFERED_BODY + MAX_HEAD:  # the parser would buffer an endless head
                 self.broken = self.broken or "the head is too long"
         answers, self.answers = self.answers, []
         return answers
@@ -194,7 +193,7 @@
         if self.ends.bodiless:
             self.over = True
             self.partial = False
-            self.hand_over(b"", int(length) if length is not None else None)
+            self.deliver(b"", int(length) if length is not None else None)
             return
         if status in EMPTY:
             return
@@ -204,7 +203,7 @@
             raise BadResponse("expected one of content-length and transfer-encoding")
         if coding is not None and coding.lower() != b"chunked":
             raise BadResponse("transfer-encoding: expected chunked")
-        if length is not None and int(length) > MAX_WHOLE:
+        if length is not None and int(length) > MAX_BUFFERED_BODY:
             self.flow(int(length))
 
     def flow(self, length: int | None) -> None:
@@ -223,7 +222,7 @@
             self.partial = True
             return
         self.size += len(data)
-        if self.head is None and self.size > MAX_WHOLE:
+        if self.head is None and self.size > MAX_BUFFERED_BODY:
             self.flow(None)
         if self.size > MAX_BODY:
             raise BadResponse("the body is too large")
@@ -242,9 +241,9 @@
         if self.head is not None:
             self.done = True
             return
-        self.hand_over(bytes(self.body))
+        self.deliver(bytes(self.body))
 
-    def hand_over(self, body: bytes, length: int | None = None) -> None:
+    def deliver(self, body: bytes, length: int | None = None) -> None:
         """Add a complete response to those to be returned."""
         keep = self.parser.should_keep_alive() and not self.until_end
         self.answers.append(Response(self.parser.get_status_code(), self.headers, body, keep, length))
--- a/ingress/net/ingress.py
+++ b/ingress/net/ingress.py
@@ -87,41 +87,45 @@
         except Exception:
             log.exception("deciding on %r", event)
             name = event.id if isinstance(event, io.Request) else getattr(event, "request", None)
-            held = self.held.get(name) if isinstance(name, str) else None
-            if held is not None:
-                self.answer(held, 500)
-                self.events.append(io.ClientGone(held.call.request.id))  # the decisions may still hold it
+            pending = self.pending.get(name) if isinstance(name, str) else None
+            if pending is not None:
+                self.answer(pending, 500)
+                self.events.append(io.ClientGone(pending.call.request.id))  # the decisions may still hold it
 
-    def carry_out(self, a: io.Action) -> None:
+    def carry_out(self, action: io.Action) -> None:
         """Carry out one action of the decisions."""
-        if isinstance(a, io.Attempt):
-            self.attempt(a)
-        elif isinstance(a, io.CounterAdd):
+        if isinstance(action, io.Attempt):
+            self.attempt(action)
+        elif isinstance(action, io.CounterAdd):
             if self.counter is not None:
-                self.counter.add(a.name, a.amount, a.lifetime)
+                self.counter.add(action.name, action.amount, action.lifetime)
             else:
-                self.submit(io.CounterReply(a.name, io.Outcome.CONNECT_FAILED, 0.0, 0.0))
-        elif isinstance(a, io.SetTimer):
-            self.loop.call_later(a.delay, self.submit, io.TimerFired(a.token))
-        elif isinstance(a, io.Refuse):
-            self.finish(a.request, True, a.retry_in)
-        elif isinstance(a, io.Fail):
-            self.finish(a.request, False, 0.0)
-        elif isinstance(a, io.CancelAttempt):
-            held = self.held.get(a.request)
-            if held is not None and held.exchange is not None and held.attempts == a.attempt + 1:
-                self.upstream.cancel(held.exchange)
-        elif isinstance(a, io.SendPeerMessage):
+                self.submit(io.CounterReply(action.name, io.Outcome.CONNECT_FAILED, 0.0, 0.0))
+        elif isinstance(action, io.SetTimer):
+            self.loop.call_later(action.delay, self.submit, io.TimerFired(action.token))
+        elif isinstance(action, io.Refuse):
+            self.finish(action.request, True, action.retry_in)
+        elif isinstance(action, io.Fail):
+            self.finish(action.request, False, 0.0)
+        elif isinstance(action, io.CancelAttempt):
+            pending = self.pending.get(action.request)
+            if (
+                pending is not None
+                and pending.exchange is not None
+                and pending.attempts == action.attempt + 1
+            ):
+                self.upstream.cancel(pending.exchange)
+        elif isinstance(action, io.SendPeerMessage):
             if self.peers is not None:
-                self.peers.tell(a.peer, a.payload)
-        elif isinstance(a, io.Probe):
-            self.probe(a.backend)
-        elif isinstance(a, io.CloseIdle):
-            self.upstream.close_idle(a.backend)
-        elif isinstance(a, io.Log):
-            log.info("%s", a.text)
-        elif isinstance(a, io.Cordons):
-            self.cordon_entries = a.cordon_entries
+                self.peers.tell(action.peer, action.payload)
+        elif isinstance(action, io.HealthCheck):
+            self.check_health(action.backend)
+        elif isinstance(action, io.CloseIdle):
+            self.upstream.close_idle(action.backend)
+        elif isinstance(action, io.Log):
+            log.info("%s", action.text)
+        elif isinstance(action, io.Cordons):
+            self.cordon_entries = action.cordon_entries
             self.unavailable_by_cordon = True
         # Subscribe and FetchList need nothing: the watch is always on. UnknownBackend needs no action.
 
@@ -138,7 +142,7 @@
             **self.statistics.totals,
             "members": members,
             "members_unavailable": unavailable,
-            "pending": sum(not held.ended for held in self.held.values()),
+            "pending": sum(not pending.ended for pending in self.pending.values()),
         }
         return [f"{name}={value}" for name, value in figures.items()]
 
@@ -159,14 +163,14 @@
     def follow(self, clients: int = 0) -> None:
         """Adopt the cordons that a sibling process has written, and divide the connection limits with it.
         `clients` is the number of this process's client connections."""
-        if (news := self.state.news()) is not None:
-            self.restore(news)
-        self.state.tell(clients, len(self.upstream.connections))
-        others = self.state.others()
-        self.sibling_clients = sum(n for n, _ in others)
-        self.upstream.beside = sum(n for _, n in others)
-        if len(others) != self.beside:
-            self.beside = len(others)
+        if (cordon_entries := self.state.changed_cordons()) is not None:
+            self.restore(cordon_entries)
+        self.state.publish(clients, len(self.upstream.connections))
+        siblings = self.state.siblings()
+        self.sibling_clients = sum(n for n, _ in siblings)
+        self.upstream.beside = sum(n for _, n in siblings)
+        if len(siblings) != self.beside:
+            self.beside = len(siblings)
             self.submit(io.SiblingProcesses(self.beside))
 
     def open_to(self, backend: str) -> bool:
@@ -179,7 +183,7 @@
     def listed(self, listing: Listing, saved: bool = False) -> None:
         """Apply a listing, or one `saved` by an earlier process: old connections are closed before the
         decisions may send anything."""
-        if listing.whole:
+        if listing.is_full:
             for backend in self.upstream.pools.keys() - {e.backend for e, _ in listing.entries}:
                 self.upstream.update(backend, None)
             self.serving.clear()
@@ -190,5 +194,5 @@
             else:
                 self.serving.discard(entry.backend)
                 self.upstream.close_idle(entry.backend)
-        kind = io.ListKind.SAVED if saved else io.ListKind.WHOLE if listing.whole else io.ListKind.CHANGE
+        kind = io.ListKind.SAVED if saved else io.ListKind.FULL if listing.is_full else io.ListKind.CHANGE
         self.submit(io.ListUpdate(kind, listing.version, tuple(e for e, _ in listing.entries)))
--- a/ingress/net/pending_request.py
+++ b/ingress/net/pending_request.py
@@ -82,11 +82,11 @@
 class ResponseRelay:
     """Streams one attempt's large response to the client as the final one. `number` is the attempt's."""
 
-    __slots__ = ("held", "ingress", "number", "sent")
+    __slots__ = ("ingress", "number", "pending", "sent")
 
-    def __init__(self, ingress: PendingRequestOwner, held: PendingRequest, number: int) -> None:
+    def __init__(self, ingress: PendingRequestOwner, pending: PendingRequest, number: int) -> None:
         self.ingress = ingress
-        self.held = held
+        self.pending = pending
         self.number = number
         self.sent = ingress.loop.time()
 
@@ -94,24 +94,24 @@
         """A streamed request body has been written completely."""
         self.sent = self.ingress.loop.time()
         self.ingress.statistics.totals["upstream_requests"] += 1
-        self.ingress.submit(io.AttemptWritten(self.held.call.request.id, self.number, exchange.backend))
+        self.ingress.submit(io.AttemptWritten(self.pending.call.request.id, self.number, exchange.backend))
 
     def begin(self, exchange: Exchange, head: Response) -> None:
         """Begin to stream the response, unless the request has been answered or its client is gone."""
-        held = self.held
+        pending = self.pending
         now = self.ingress.loop.time()
-        if held.answered:  # its client has disconnected, or has got another response
+        if pending.answered:  # its client has disconnected, or has got another response
             self.ingress.drop(exchange)
             return
-        held.answered = True
-        held.flowing = now
-        if held.timer is not None:
-            held.timer.cancel()
-        held.client.begin(self.ingress.lines(head), head.length, exchange)
+        pending.answered = True
+        pending.flowing = now
+        if pending.timer is not None:
+            pending.timer.cancel()
+        pending.client.begin(self.ingress.lines(head), head.length, exchange)
         self.ingress.submit(
-            io.AttemptStarted(held.call.request.id, self.number, exchange.backend, now - self.sent)
+            io.AttemptStarted(pending.call.request.id, self.number, exchange.backend, now - self.sent)
         )
 
     def part(self, data: bytes) -> None:
         """Pass on a part of the body."""
-        self.held.client.part(data)
+        self.pending.client.part(data)
--- a/ingress/net/pending_requests.py
+++ b/ingress/net/pending_requests.py
@@ -1,4 +1,4 @@
-"""The requests in flight: each is held from its arrival to its one final response."""
+"""The requests in flight: each is pending from its arrival to its one final response."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
         self.upstream = upstream
         self.effects = {c.name: c.effect for c in settings.classes}
         self.groups = {c.name: c.group for c in settings.classes}
-        self.aims = {c.name: c.objective for c in settings.classes}
-        self.held: dict[str, PendingRequest] = {}
+        self.objectives = {c.name: c.objective for c in settings.classes}
+        self.pending: dict[str, PendingRequest] = {}
         self.statistics = RequestStatistics(loop)
 
     def submit(self, event: io.Event) -> None:
@@ -47,40 +47,40 @@
     def take(self, call: ClientRequest, client: Client) -> None:
         """Accept a client's request, to be answered exactly once via `client`; a duplicate id gets 400."""
         r = call.request
-        if r.id in self.held:  # ids are unique
+        if r.id in self.pending:  # ids are unique
             client.reply(400, b"", b"")
             return
         left = call.came + r.expires_in - self.loop.time()
         left -= min(MARGIN_S, MARGIN_SHARE * r.expires_in)
-        held = self.held[r.id] = PendingRequest(call, client, self.loop.time() + left)
-        if call.upload is None or call.upload.whole:
-            held.timer = self.loop.call_at(held.deadline, self.expire_request, held)
+        pending = self.pending[r.id] = PendingRequest(call, client, self.loop.time() + left)
+        if call.upload is None or call.upload.complete:
+            pending.timer = self.loop.call_at(pending.deadline, self.expire_request, pending)
         else:
-            held.deadline = math.inf  # until its last byte has been received
+            pending.deadline = math.inf  # until its last byte has been received
         self.submit(r._replace(expires_in=max(0.0, left), flows=call.upload is not None))
 
-    def whole(self, call: ClientRequest) -> None:
+    def upload_received(self, call: ClientRequest) -> None:
         """The streamed body of a request is complete: its time limit runs from here on."""
-        held = self.held.get(call.request.id)
-        if held is None or held.call is not call or held.answered:
+        pending = self.pending.get(call.request.id)
+        if pending is None or pending.call is not call or pending.answered:
             return
         expires_in = call.request.expires_in
         call.came = self.loop.time()
-        held.deadline = call.came + expires_in - min(MARGIN_S, MARGIN_SHARE * expires_in)
-        held.timer = self.loop.call_at(held.deadline, self.expire_request, held)
+        pending.deadline = call.came + expires_in - min(MARGIN_S, MARGIN_SHARE * expires_in)
+        pending.timer = self.loop.call_at(pending.deadline, self.expire_request, pending)
 
     def abort_request(self, call: ClientRequest, status: int) -> None:
         """The rest of a request's streamed body will not arrive or can't be read: answer with `status`."""
-        held = self.held.get(call.request.id)
-        if held is not None and held.call is call and not held.answered:
+        pending = self.pending.get(call.request.id)
+        if pending is not None and pending.call is call and not pending.answered:
             self.submit(io.ClientGone(call.request.id))
-            self.answer(held, status)
+            self.answer(pending, status)
 
     def upload_stalled(self, call: ClientRequest) -> None:
         """A backend has accepted nothing of a streamed body for too long: the attempt has timed out."""
-        held = self.held.get(call.request.id)
-        if held is not None and held.call is call and held.exchange is not None:
-            self.upstream.expire(held.exchange)
+        pending = self.pending.get(call.request.id)
+        if pending is not None and pending.call is call and pending.exchange is not None:
+            self.upstream.expire(pending.exchange)
 
     def gone(self, call: ClientRequest) -> None:
         """The client has closed its connection: nothing more is sent for its request.
@@ -88,43 +88,45 @@
         An attempt that a backend has completely is waited for, unless `cancels_when_gone` says otherwise; the
         decisions count it as load until then.
         """
-        held = self.held.get(call.request.id)
-        if held is None or held.ended:
+        pending = self.pending.get(call.request.id)
+        if pending is None or pending.ended:
             return
-        self.record_outcome(held, "gone")
-        if held.flowing and held.exchange is not None:
-            self.upstream.cancel(held.exchange)
+        self.record_outcome(pending, "gone")
+        if pending.flowing and pending.exchange is not None:
+            self.upstream.cancel(pending.exchange)
             return
-        held.answered = True
+        pending.answered = True
         self.submit(io.ClientGone(call.request.id))
-        if held.exchange is not None and not held.exchange.written:
-            self.upstream.cancel(held.exchange)
-        elif held.exchange is not None and self.cancels_when_gone(held):
-            held.exchange.give_up(io.Outcome.CANCELLED)  # a missing response is no evidence against the pool
-        self.forget(held)
-
-    def cancels_when_gone(self, held: PendingRequest) -> bool:
+        if pending.exchange is not None and not pending.exchange.written:
+            self.upstream.cancel(pending.exchange)
+        elif pending.exchange is not None and self.cancels_when_gone(pending):
+            pending.exchange.give_up(
+                io.Outcome.CANCELLED
+            )  # a missing response is no evidence against the pool
+        self.forget(pending)
+
+    def cancels_when_gone(self, pending: PendingRequest) -> bool:
         """Whether a backend's work on a complete request is cancelled when its client disconnects."""
         return False
 
-    def expire_request(self, held: PendingRequest) -> None:
+    def expire_request(self, pending: PendingRequest) -> None:
         """The request's deadline is reached: end the attempt, and answer if the decisions don't."""
-        if held.exchange is not None:
-            self.upstream.expire(held.exchange)
-        if not held.answered:
-            name = held.call.request.id
+        if pending.exchange is not None:
+            self.upstream.expire(pending.exchange)
+        if not pending.answered:
+            name = pending.call.request.id
             log.info("request %s: answered by the watchdog", name)
-            self.finish(name, self.may_refuse(held), 0.0)
+            self.finish(name, self.may_refuse(pending), 0.0)
             self.submit(io.ClientGone(name))
-        self.forget(held)
+        self.forget(pending)
 
-    def may_refuse(self, held: PendingRequest) -> bool:
+    def may_refuse(self, pending: PendingRequest) -> bool:
         """Whether a refusal, which implies that a retry is harmless, may be given: if nothing ran, or if
         retries of the class are harmless anyway."""
-        name = held.call.request.class_name
+        name = pending.call.request.class_name
         effect = self.effects[name]
         return (
-            not held.may_have_run
+            not pending.may_have_run
             or effect is io.Effect.SAFE
             or (effect is io.Effect.KEYED and self.groups[name] is io.Group.ALL)
         )
@@ -132,44 +134,44 @@
     def finish(self, name: str, refused: bool, wait: float) -> None:
         """Give the decisions' final response: 502, or if `refused`, 503 or (with a `wait` in seconds until a
         quota has room again) 429."""
-        held = self.held.get(name)
-        if held is None:
+        pending = self.pending.get(name)
+        if pending is None:
             return
         if not refused:
-            self.answer(held, 502)
+            self.answer(pending, 502)
             return
         after = max(wait, 10**-DECIMALS) if wait > 0 else self.settings.max_retry_after  # never sent as 0
         self.answer(
-            held,
+            pending,
             429 if wait > 0 else 503,
             b"Retry-After: %s\r\n" % f"{after:.{DECIMALS}f}".encode() if after > 0 else b"",
         )
 
-    def answer(self, held: PendingRequest, status: int, lines: bytes = b"", body: bytes = b"") -> None:
+    def answer(self, pending: PendingRequest, status: int, lines: bytes = b"", body: bytes = b"") -> None:
         """Give the one final response; any further one is dropped."""
-        if held.answered:
+        if pending.answered:
             return
-        held.answered = True
-        self.record_outcome(held, str(status))
-        held.client.reply(status, lines, body)
-        if held.exchange is not None and not held.exchange.written:
-            self.upstream.cancel(held.exchange)
-        self.forget(held)
-
-    def record_outcome(self, held: PendingRequest, how: str) -> None:
+        pending.answered = True
+        self.record_outcome(pending, str(status))
+        pending.client.reply(status, lines, body)
+        if pending.exchange is not None and not pending.exchange.written:
+            self.upstream.cancel(pending.exchange)
+        self.forget(pending)
+
+    def record_outcome(self, pending: PendingRequest, how: str) -> None:
         """Count the end of a request, and log a sample of bad ones: of all but a 200 within the objective."""
-        if held.ended:
+        if pending.ended:
             return
-        held.ended = True
-        r = held.call.request
+        pending.ended = True
+        r = pending.call.request
         now = self.loop.time()
-        if how == "200" and (held.flowing or now) - held.call.came > self.aims[r.class_name]:
+        if how == "200" and (pending.flowing or now) - pending.call.came > self.objectives[r.class_name]:
             how = "late"
         self.statistics.counts[f"{r.plan} {how}"] += 1
         self.statistics.totals[f"{ENDINGS.get(how, 'failed')}.{r.class_name}"] += 1
         if how != "200" and self.statistics.bad(now):
             attempt_history = "".join(
-                f", +{at - held.call.came:.3f} {what}" for at, what in held.attempt_history
+                f", +{at - pending.call.came:.3f} {what}" for at, what in pending.attempt_history
             )
             log.info(
                 "request %s of %d: %s %s %g units: %s after %.3f s%s",
@@ -179,13 +181,13 @@
                 r.class_name,
                 r.units,
                 how,
-                now - held.call.came,
+                now - pending.call.came,
                 attempt_history,
             )
 
-    def forget(self, held: PendingRequest) -> None:
+    def forget(self, pending: PendingRequest) -> None:
         """Drop a request that is answered and has no attempt in flight."""
-        if held.answered and held.exchange is None:
-            if held.timer is not None:
-                held.timer.cancel()
-            self.held.pop(held.call.request.id, None)
+        if pending.answered and pending.exchange is None:
+            if pending.timer is not None:
+                pending.timer.cancel()
+            self.pending.pop(pending.call.request.id, None)
--- a/ingress/net/process_state.py
+++ b/ingress/net/process_state.py
@@ -60,14 +60,14 @@
                 fcntl.flock(self.own, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError as error:
                 log.error("state: %s", error)
-            self.others()
+            self.siblings()
 
-    def tell(self, clients: int, backends: int) -> None:
+    def publish(self, clients: int, backends: int) -> None:
         """Publish the numbers of this process's connections to clients and backends."""
         if self.own >= 0:
             os.pwrite(self.own, f"{clients:6d} {backends:6d}\n".encode(), 0)
 
-    def others(self) -> list[tuple[int, int]]:
+    def siblings(self) -> list[tuple[int, int]]:
         """The numbers of connections, to clients and to backends, of each live sibling process."""
         alive: list[tuple[int, int]] = []
         for path in self.folder.glob(f"{PROCESS}*") if self.folder is not None else ():
@@ -86,7 +86,7 @@
                 os.close(file)
         return alive
 
-    def news(self) -> dict[str, io.CordonEntry] | None:
+    def changed_cordons(self) -> dict[str, io.CordonEntry] | None:
         """The cordons, if their file can be read and has changed since it was last read or written."""
         if self.folder is None:
             return None
@@ -124,8 +124,8 @@
         """Change the cordons under the lock: `follow` adopts a sibling's changes, then `order` makes the
         change and returns the new cordons, or None if it isn't valid. Returns whether it was valid."""
         with self.alone():
-            if (news := self.news()) is not None:
-                follow(news)
+            if (changed := self.changed_cordons()) is not None:
+                follow(changed)
             cordon_entries = order()
             if cordon_entries is not None:
                 self.write(cordon_entries)
--- a/ingress/net/upload.py
+++ b/ingress/net/upload.py
@@ -27,9 +27,9 @@
     def __init__(self, length: int | None, hold: Callable[[bool], None]) -> None:
         self.length = length
         self.hold = hold
-        self.kept = bytearray()
+        self.buffer = bytearray()
         self.writer: UploadWriter | None = None
-        self.whole = False
+        self.complete = False
         self.spent = False
         self.unwanted = False
 
@@ -38,7 +38,7 @@
         if self.unwanted:
             return
         if self.writer is None:
-            self.kept += data
+            self.buffer += data
             self.hold(True)
         else:
             self.writer.body(self.framed(data))
@@ -49,7 +49,7 @@
 
     def finish(self) -> None:
         """The body has been received completely."""
-        self.whole = True
+        self.complete = True
         if self.writer is not None:
             self.end(self.writer)
 
@@ -57,10 +57,10 @@
         """An attempt begins: write what is buffered to its connection, and then what follows."""
         self.writer = writer
         self.spent = True
-        if self.kept:
-            writer.body(self.framed(bytes(self.kept)))
-            self.kept.clear()
-        if self.whole:
+        if self.buffer:
+            writer.body(self.framed(bytes(self.buffer)))
+            self.buffer.clear()
+        if self.complete:
             self.end(writer)
         else:
             self.hold(False)
@@ -75,5 +75,5 @@
         """The request has its final response: the rest of the body is read and discarded."""
         self.writer = None
         self.unwanted = True
-        self.kept.clear()
+        self.buffer.clear()
         self.hold(False)
--- a/ingress/opencap.py
+++ b/ingress/opencap.py
@@ -11,18 +11,19 @@
 from ingress.flight import ActiveRequest
 from ingress.routing import Routing
 
-OPEN_AIMS = 2.0  # window of a count in longest objectives; a new one starts with the requests open then
-VERDICT_PART = 0.6  # factor on a verdict's gain: one on the cap takes two calls, one on a rate gains more
+# Window of a count in longest objectives; a new one starts with the requests open then.
+WINDOW_OBJECTIVES = 2.0
+VERDICT_GAIN = 0.6  # factor on a verdict's gain: one on the cap takes two calls, one on a rate gains more
 PACE_S = 8.0  # decay time of a customer's arrivals
 # prior for the open requests of a new customer, of its cap; its weight
 PACE_PRIOR = 0.25
 PACE_PRIOR_S = 2.0
 ARRIVAL = 1e-4  # added to the count for each arrival, so that totals also contain the number of arrivals
 RATE_PRIOR_S = 0.5  # into a window, after which arrivals by its total outweigh those seen here
-KEEP = 2  # token of the timer that releases reserved places
+RELEASE_TIMER = 2  # token of the timer that releases reserved places
 
 
-def beyond(pace: float, most: int) -> float:
+def overflow_probability(pace: float, most: int) -> float:
     """The probability that at least `most` are open (Poisson, mean `pace`), if none is rejected."""
     chance = math.exp(-pace)
     below = 0.0
@@ -32,7 +33,7 @@
     return 1 - below
 
 
-def turned_away(pace: float, most: int) -> float:
+def blocking_probability(pace: float, most: int) -> float:
     """The fraction of requests that a cap of `most` rejects at an offered load of `pace` (Erlang B)."""
     part = 1.0
     for n in range(1, most + 1):
@@ -50,61 +51,68 @@
         self.open: dict[str, Customer] = {}  # the customer of each open request
         self.best: dict[str, float] = {}  # by plan: the mean of open requests that gains most without counts
         self.reserved_places = deque[tuple[float, Customer]]()  # counted places kept free for the next, until
-        self.length = OPEN_AIMS * max(c.objective for c in gw.s.classes) or 1.0
+        self.length = WINDOW_OBJECTIVES * max(c.objective for c in gw.s.classes) or 1.0
 
-    def enter(self, now: float, f: ActiveRequest) -> None:
+    def enter(self, now: float, request: ActiveRequest) -> None:
         """Send a request that is within its rate quota, if the cap on open requests has room."""
-        c = f.customer
-        most = f.customer.plan.max_open
+        customer = request.customer
+        most = request.customer.plan.max_open
         if most <= 0:
-            return self.gw.send(now, f)
-        f.pace = self.pace(now, f)
-        self.arrive(now, c)
-        if c.out >= most:  # sure: the requests open here alone fill it
-            return self.gw.refuse(now, f, self.gw.latency[f.cls.name])
-        if not self.gw.limit.allows(now) and self.gw.late(now, f):
-            return self.gw.refuse(now, f, 0.0)
-        c.out += 1
-        self.open[f.req.id] = c
-        if c.counted_in == int(now // self.length) and c.counted >= c.out:
-            return self.gw.send(now, f)  # into a reserved place
-        sure = c.out > max(1, most // c.width) or now < c.pressed + f.cls.objective
+            return self.gw.send(now, request)
+        request.pace = self.pace(now, request)
+        self.arrive(now, customer)
+        if customer.out >= most:  # sure: the requests open here alone fill it
+            return self.gw.refuse(now, request, self.gw.latency[request.cls.name])
+        if not self.gw.limit.allows(now) and self.gw.late(now, request):
+            return self.gw.refuse(now, request, 0.0)
+        customer.out += 1
+        self.open[request.req.id] = customer
+        if customer.counted_in == int(now // self.length) and customer.counted >= customer.out:
+            return self.gw.send(now, request)  # into a reserved place
+        is_certain = (
+            customer.out > max(1, most // customer.width)
+            or now < customer.cap_full_at + request.cls.objective
+        )
         if not self.gw.s.counter or not self.call_policy.should_call(
-            1.0 if sure else self.need(f.pace, c.plan)
+            1.0 if is_certain else self.need(request.pace, customer.plan)
         ):
-            return self.enter_alone(now, f)
-        self.count(now, c, f)
+            return self.enter_alone(now, request)
+        self.count(now, customer, request)
 
-    def pace(self, now: float, f: ActiveRequest) -> float:
+    def pace(self, now: float, request: ActiveRequest) -> float:
         """Estimate the requests that a customer would keep open, from arrivals here and from totals."""
-        c = f.customer
+        customer = request.customer
         span = PACE_S * (1 - math.exp((self.gw.began - now) / PACE_S))
-        came = c.came * math.exp((c.came_at - now) / PACE_S)
-        prior = PACE_PRIOR_S * PACE_PRIOR * c.plan.max_open
-        own = (came * c.width * self.gw.latency[f.cls.name] + prior) / (span + PACE_PRIOR_S)
-        told = c.rate * self.gw.latency[f.cls.name]  # of all ingresses, so a better estimate
-        return own + (told - own) * c.rate_part * math.exp((c.rate_at - now) / PACE_S)
+        came = customer.recent_arrivals * math.exp((customer.arrivals_at - now) / PACE_S)
+        prior = PACE_PRIOR_S * PACE_PRIOR * customer.plan.max_open
+        own = (came * customer.width * self.gw.latency[request.cls.name] + prior) / (span + PACE_PRIOR_S)
+        reported = customer.rate * self.gw.latency[request.cls.name]  # of all ingresses, so a better estimate
+        return own + (reported - own) * customer.rate_part * math.exp((customer.rate_at - now) / PACE_S)
 
-    def arrive(self, now: float, c: Customer) -> None:
+    def arrive(self, now: float, customer: Customer) -> None:
         """Note an arrival in the decaying count."""
-        c.came = c.came * math.exp((c.came_at - now) / PACE_S) + 1
-        c.came_at = now
-        c.unreported_arrivals += 1
+        customer.recent_arrivals = (
+            customer.recent_arrivals * math.exp((customer.arrivals_at - now) / PACE_S) + 1
+        )
+        customer.arrivals_at = now
+        customer.unreported_arrivals += 1
 
-    def enter_alone(self, now: float, f: ActiveRequest) -> None:
+    def enter_alone(self, now: float, request: ActiveRequest) -> None:
         """Decide without a total: within an even share (at least one), and at random as `left` says."""
-        c = f.customer
-        even = max(1, c.plan.max_open // (c.width * self.gw.processes))
-        if c.out > even or self.gw.rng.random() >= self.left(f.pace, c.plan):
-            return self.gw.refuse(now, f, self.gw.latency[f.cls.name])
-        self.gw.send(now, f)
+        customer = request.customer
+        even = max(1, customer.plan.max_open // (customer.width * self.gw.processes))
+        if customer.out > even or self.gw.rng.random() >= self.left(request.pace, customer.plan):
+            return self.gw.refuse(now, request, self.gw.latency[request.cls.name])
+        self.gw.send(now, request)
 
     def part(self, pace: float, plan: io.PlanSettings) -> float:
         """The best fraction of requests to admit without a count, given the cost of one beyond the cap."""
         if plan.name not in self.best:
             paces = (plan.max_open * n / 20 for n in range(1, 41))
             self.best[plan.name] = max(
-                paces, key=lambda pace: pace * (1 - (1 + plan.over_cost) * beyond(pace, plan.max_open))
+                paces,
+                key=lambda pace: pace
+                * (1 - (1 + plan.over_cost) * overflow_probability(pace, plan.max_open)),
             )
         return min(1.0, self.best[plan.name] / max(pace, 1e-9))
 
@@ -112,83 +120,87 @@
         """The same of the requests without a verdict, as those with one take places too."""
         if self.call_policy.counter_down():
             return self.part(pace, plan)
-        asked = min(1.0, self.call_policy.draw_share(self.need(pace, plan)))
-        seen = asked * pace * (1 - turned_away(asked * pace, plan.max_open))
+        call_share = min(1.0, self.call_policy.draw_share(self.need(pace, plan)))
+        seen = call_share * pace * (1 - blocking_probability(call_share * pace, plan.max_open))
         unseen = self.part(pace, plan) * pace - seen
-        return min(1.0, max(0.0, unseen) / max(pace * (1 - asked), 1e-9))
+        return min(1.0, max(0.0, unseen) / max(pace * (1 - call_share), 1e-9))
 
     def need(self, pace: float, plan: io.PlanSettings) -> float:
         """What a verdict gains for a request over admitting a fraction without a count."""
         part = self.part(pace, plan)
-        unseen = part * (1 - (1 + plan.over_cost) * beyond(part * pace, plan.max_open))
-        return VERDICT_PART * max(0.0, 1 - turned_away(pace, plan.max_open) - unseen)
+        unseen = part * (1 - (1 + plan.over_cost) * overflow_probability(part * pace, plan.max_open))
+        return VERDICT_GAIN * max(0.0, 1 - blocking_probability(pace, plan.max_open) - unseen)
 
-    def count(self, now: float, c: Customer, f: ActiveRequest | None = None) -> None:
+    def count(self, now: float, customer: Customer, request: ActiveRequest | None = None) -> None:
         """Add the change in open requests here to this window's count; to a new one, all that are open."""
         window = int(now // self.length)
-        if c.counted_in != window:
-            c.counted = 0
-            c.counted_in = window
-        change = c.out - c.counted
-        if not self.gw.s.counter or (change == 0 and f is None):
+        if customer.counted_in != window:
+            customer.counted = 0
+            customer.counted_in = window
+        change = customer.out - customer.counted
+        if not self.gw.s.counter or (change == 0 and request is None):
             return
-        c.counted = c.out
-        name = mix(~c.key, window)
-        self.calls.setdefault(name, deque()).append((c, window, change, f))
-        amount = change + ARRIVAL * c.unreported_arrivals
-        c.unreported_arrivals = 0
+        customer.counted = customer.out
+        name = mix(~customer.key, window)
+        self.calls.setdefault(name, deque()).append((customer, window, change, request))
+        amount = change + ARRIVAL * customer.unreported_arrivals
+        customer.unreported_arrivals = 0
         self.gw.acts.append(io.CounterAdd(name, amount, min(60.0, 2 * self.length)))
 
-    def counted(self, now: float, e: io.CounterReply) -> None:
+    def counted(self, now: float, event: io.CounterReply) -> None:
         """Process the reply to a call: decide the request that waits for it, if any."""
-        queue = self.calls[e.name]
-        c, window, change, f = queue.popleft()
+        queue = self.calls[event.name]
+        customer, window, change, request = queue.popleft()
         if not queue:
-            del self.calls[e.name]
-        added = self.call_policy.answers(e, self.gw.acts) or e.outcome is io.Outcome.TIMEOUT
-        if not added and c.counted_in == window:
-            c.counted -= change  # surely not added: it goes with the next call
-        total = math.floor(e.total + ARRIVAL / 2)
-        if e.outcome is io.Outcome.OK and now > window * self.length:
-            told_s = now - window * self.length
-            c.rate = (e.total - total) / ARRIVAL / told_s
-            c.rate_at = now
-            c.rate_part = told_s / (told_s + RATE_PRIOR_S)
-        if f is None or f.req.id not in self.gw.active_requests:
+            del self.calls[event.name]
+        added = self.call_policy.answers(event, self.gw.acts) or event.outcome is io.Outcome.TIMEOUT
+        if not added and customer.counted_in == window:
+            customer.counted -= change  # surely not added: it goes with the next call
+        total = math.floor(event.total + ARRIVAL / 2)
+        if event.outcome is io.Outcome.OK and now > window * self.length:
+            window_age_s = now - window * self.length
+            customer.rate = (event.total - total) / ARRIVAL / window_age_s
+            customer.rate_at = now
+            customer.rate_part = window_age_s / (window_age_s + RATE_PRIOR_S)
+        if request is None or request.req.id not in self.gw.active_requests:
             return
-        if e.outcome is not io.Outcome.OK:
-            return self.enter_alone(now, f)
-        if total > c.plan.max_open:
-            c.pressed = now
-            return self.gw.refuse(now, f, self.gw.latency[f.cls.name])
-        self.gw.send(now, f)
+        if event.outcome is not io.Outcome.OK:
+            return self.enter_alone(now, request)
+        if total > customer.plan.max_open:
+            customer.cap_full_at = now
+            return self.gw.refuse(now, request, self.gw.latency[request.cls.name])
+        self.gw.send(now, request)
 
     def leave(self, now: float, request: str, served: bool = True) -> None:
         """A request is no longer open: free its place at once, or reserve it briefly if calls are scarce."""
-        c = self.open.pop(request, None)
-        if c is not None:
-            c.out -= 1
-            if c.counted_in != int(now // self.length):
-                c.counted = min(c.counted, c.out)
-            if c.counted <= c.out:
+        customer = self.open.pop(request, None)
+        if customer is not None:
+            customer.out -= 1
+            if customer.counted_in != int(now // self.length):
+                customer.counted = min(customer.counted, customer.out)
+            if customer.counted <= customer.out:
                 return  # it isn't counted
-            if self.call_policy.ask >= 1 or not served:  # the place of a refused request isn't reserved
-                return self.count(now, c)
-            wait = (1 - self.call_policy.ask) * self.gw.s.counter_timeout
-            self.reserved_places.append((now + wait, c))
-            self.gw.acts.append(io.SetTimer(wait, KEEP))
+            if (
+                self.call_policy.call_share >= 1 or not served
+            ):  # the place of a refused request isn't reserved
+                return self.count(now, customer)
+            wait = (1 - self.call_policy.call_share) * self.gw.s.counter_timeout
+            self.reserved_places.append((now + wait, customer))
+            self.gw.acts.append(io.SetTimer(wait, RELEASE_TIMER))
 
     def give_back(self, now: float) -> None:
         """Release the reserved places that were not used in time."""
         while self.reserved_places and self.reserved_places[0][0] <= now + 1e-6:
-            _, c = self.reserved_places.popleft()
-            if c.counted_in == int(now // self.length):
-                self.count(now, c)
+            _, customer = self.reserved_places.popleft()
+            if customer.counted_in == int(now // self.length):
+                self.count(now, customer)
             else:
-                c.counted = min(c.counted, c.out)
+                customer.counted = min(customer.counted, customer.out)
 
     def renew(self, now: float) -> None:
         """Add the requests open here to a new count; if calls are scarce, only where some were counted."""
-        for c in {c.key: c for c in self.open.values()}.values():
-            if c.counted_in != int(now // self.length) and (c.counted > 0 or self.call_policy.ask >= 1):
-                self.count(now, c)
+        for customer in {c.key: c for c in self.open.values()}.values():
+            if customer.counted_in != int(now // self.length) and (
+                customer.counted > 0 or self.call_policy.call_share >= 1
+            ):
+                self.count(now, customer)
--- a/ingress/wirehost.py
+++ b/ingress/wirehost.py
@@ -23,7 +23,7 @@
 PHASES = {"Running": io.Phase.RUNNING, "Stopping": io.Phase.STOPPING, "Deleted": io.Phase.DELETED}
 FORMS = {
     "INCREMENTAL": io.ListKind.CHANGE,
-    "FULL": io.ListKind.WHOLE,
+    "FULL": io.ListKind.FULL,
     "SAVED": io.ListKind.SAVED,
     "FAILED": io.ListKind.FAILED,
 }
@@ -53,7 +53,7 @@
     return 0.0 if text == "-" else _number(message, field, text, low)
 
 
-def _whole(message: str, field: str, text: str, low: int = 0) -> int:
+def _integer(message: str, field: str, text: str, low: int = 0) -> int:
     try:
         value = int(text)
     except ValueError:
@@ -98,7 +98,7 @@
     def number(self, key: str, default: str | None = None) -> float:
         return _number("BORN", key, self.text(key, default))
 
-    def whole(self, key: str, default: str | None = None) -> int:
+    def integer(self, key: str, default: str | None = None) -> int:
         return int(self.number(key, default))
 
     def flag(self, key: str) -> bool:
@@ -126,7 +126,7 @@
             group=_choice("BORN", c + "group", p.text(c + "group", "all"), GROUPS),
             window=p.number(c + "window", "0"),
         )
-        for c in (f"classes.{i}." for i in range(p.whole("classes.count")))
+        for c in (f"classes.{i}." for i in range(p.integer("classes.count")))
     )
     plans = tuple(
         io.PlanSettings(
@@ -136,19 +136,19 @@
             price=p.number(q + "pays", "1"),
             over_worth=p.number(q + "beyondEarns", "0"),
             over_cost=p.number(q + "beyondCosts", "0"),
-            max_open=p.whole(q + "maxOut", "0"),
-            ceiling_rate=p.number(q + "capRate", "0"),
-            ceiling_burst=p.number(q + "neverOverDepth", "0"),
-            ceiling_slack=p.number(q + "capSlack", "0"),
+            max_open=p.integer(q + "maxOut", "0"),
+            limit_rate=p.number(q + "capRate", "0"),
+            limit_burst=p.number(q + "neverOverDepth", "0"),
+            limit_slack=p.number(q + "capSlack", "0"),
         )
-        for q in (f"plans.{i}." for i in range(p.whole("plans.count")))
+        for q in (f"plans.{i}." for i in range(p.integer("plans.count")))
     )
     how = p.text("loadReport.how", "silent")
     settings = io.Settings(
         classes=classes,
         plans=plans,
-        instances=p.whole("balancers"),
-        me=p.whole("me"),
+        instances=p.integer("balancers"),
+        me=p.integer("me"),
         zone=p.text("zone", ""),
         step=p.number("step", "0"),
         counter=p.flag("extra.counter"),
@@ -156,28 +156,28 @@
         counter_price=p.number("extra.counterPrice", "0"),
         max_units=p.number("extra.maxUnits", "1"),
         settles=p.flag("extra.truedUp"),
-        max_attempts=p.whole("limits.maxAttempts", "1"),
+        max_attempts=p.integer("limits.maxAttempts", "1"),
         retry_after=p.flag("limits.retryAfter"),
         max_retry_after=p.number("limits.maxRetryAfter", "0"),
-        may_probe=p.flag("limits.mayProbe"),
+        may_check_health=p.flag("limits.mayProbe"),
         may_cancel=p.flag("limits.cancel"),
         peers=p.flag("limits.peers"),
         peer_in_per_s=p.number("extra.peerInPerS", "0"),
         second_copies=p.flag("limits.secondCopies"),
         list_on_request=p.text("discovery", "pushed") == "on_request",
-        ask_every=p.number("invariants.askEvery", "10"),
+        list_poll_interval=p.number("invariants.askEvery", "10"),
         load_in_answers=how == "piggyback",
         load_in_probes=how in ("piggyback", "pull"),
         drain_grace=p.number("invariants.drainGrace", "0"),
         fall_multiple=p.number("invariants.fallMultiple", "1"),
         fall_after=p.number("invariants.tipAfter", "1"),
         start_capacity=p.number("invariants.startCapacity", "1"),
-        cold_time=p.number("invariants.cold", "0"),
+        slow_start_s=p.number("invariants.cold", "0"),
         connect_timeout=p.number("limits.connectTimeout", "0"),
         late_fail_price=p.number("prices.lateFail", "0"),
         waste_price=p.number("prices.waste", "0"),
         cross_zone_price=p.number("prices.crossZone", "0"),
-        probe_price=p.number("prices.probe", "0"),
+        health_check_price=p.number("prices.probe", "0"),
     )
     fields = p.text("loadReport.fields", "")
     return settings, tuple(f for f in fields.split(",") if f and f != "-")
@@ -203,7 +203,7 @@
         phase=_choice("ROW", "stageState", parts[3], PHASES),
         weight=1.0 if parts[1] == "-" else _number("ROW", "share", parts[1], 0.0),
         kind="" if parts[2] == "-" else parts[2],
-        cell=0 if parts[5] == "-" else _whole("ROW", "unitGroup", parts[5]),
+        cell=0 if parts[5] == "-" else _integer("ROW", "unitGroup", parts[5]),
         born=_optional("ROW", "born", parts[6], -math.inf),
         zone="" if parts[7] == "-" else parts[7],
     )
@@ -214,16 +214,16 @@
     m = parts[0]
     if m == "WORK_ITEM":
         _count(m, parts, 11)
-        bits = 0 if parts[10] == "-" else _whole(m, "bits", parts[10])
+        bits = 0 if parts[10] == "-" else _integer(m, "bits", parts[10])
         return io.Request(
             id=parts[2],
             class_name=parts[3],
             plan=parts[4],
-            customer=_whole(m, "apiKey", parts[5]),
+            customer=_integer(m, "apiKey", parts[5]),
             expires_in=_number(m, "expiresIn", parts[6]),
             units=_number(m, "units", parts[7], 0.0),
-            width=1 if parts[8] == "-" else _whole(m, "width", parts[8]),
-            first=0 if parts[9] == "-" else _whole(m, "base", parts[9]),
+            width=1 if parts[8] == "-" else _integer(m, "width", parts[8]),
+            first=0 if parts[9] == "-" else _integer(m, "base", parts[9]),
             is_repeat=bool(bits & 2),
             is_write=bool(bits & 4),
         )
@@ -231,12 +231,12 @@
         _count(m, parts, 11)
         return io.AttemptEnded(
             request=parts[2],
-            attempt=_whole(m, "n", parts[3]),
+            attempt=_integer(m, "n", parts[3]),
             backend=parts[4],
             outcome=_choice(m, "reason", parts[5], OUTCOMES),
             elapsed=_optional(m, "waitTime", parts[6]),
             done=_flag(m, "doneFlag", parts[7]),
-            metered=0 if parts[8] == "-" else _whole(m, "metered", parts[8]),
+            metered=0 if parts[8] == "-" else _integer(m, "metered", parts[8]),
             true_units=_optional(m, "trueUnits", parts[9]),
             load=_load(m, parts[10], fields),
         )
@@ -244,26 +244,26 @@
         _count(m, parts, 6)
         return io.CounterReply(
             elapsed=_optional(m, "waitTime", parts[2]),
-            name=_whole(m, "name", parts[3]),
+            name=_integer(m, "name", parts[3]),
             outcome=_choice(m, "reason", parts[4], OUTCOMES),
             total=_optional(m, "nowAt", parts[5], -math.inf),
         )
     if m == "FIRED":
         _count(m, parts, 3)
-        return io.TimerFired(_whole(m, "ctx", parts[2]))
+        return io.TimerFired(_integer(m, "ctx", parts[2]))
     if m == "EXPIRED":
         _count(m, parts, 3)
         return io.ClientGone(parts[2])
     if m == "UPDATE":
         _count(m, parts, 5)
-        n = _whole(m, "rows", parts[4])
+        n = _integer(m, "rows", parts[4])
         entries: list[io.BackendEntry] = []
         for _ in range(n):
             line = next(rows, None)
             if line is None:
                 _bad(m, "rows", f"{n} ROW lines", len(entries))
             entries.append(read_row(line))
-        version = 0 if parts[3] == "-" else _whole(m, "stamp", parts[3])
+        version = 0 if parts[3] == "-" else _integer(m, "stamp", parts[3])
         return io.ListUpdate(_choice(m, "form", parts[2], FORMS), version, tuple(entries))
     if m == "UNDER_WAY":
         _count(m, parts, 6)
@@ -271,11 +271,11 @@
             request=parts[2],
             elapsed=_optional(m, "waitTime", parts[3]),
             backend=parts[4],
-            attempt=_whole(m, "n", parts[5]),
+            attempt=_integer(m, "n", parts[5]),
         )
     if m == "PROBE_DONE":
         _count(m, parts, 6)
-        return io.ProbeEnded(
+        return io.HealthCheckEnded(
             backend=parts[2],
             outcome=_choice(m, "reason", parts[3], OUTCOMES),
             elapsed=_optional(m, "waitTime", parts[4]),
@@ -287,7 +287,7 @@
             payload = b"" if parts[3] == "-" else bytes.fromhex(parts[3])
         except ValueError:
             _bad(m, "msg", "hex digits", parts[3])
-        return io.PeerMessage(_whole(m, "originPeer", parts[2]), payload)
+        return io.PeerMessage(_integer(m, "originPeer", parts[2]), payload)
     _bad("batch", "message", "a known message", m)
 
 
@@ -310,7 +310,7 @@
         return f"DEFER {me} {a.delay:.6f} {a.token}"
     if isinstance(a, io.CancelAttempt):
         return f"DROP_ATTEMPT {me} {a.request} {a.attempt}"
-    if isinstance(a, io.Probe):
+    if isinstance(a, io.HealthCheck):
         return f"TOUCH {me} {a.backend}"
     if isinstance(a, io.CloseIdle):
         return f"CLOSE_IDLE {me} {a.backend}"
@@ -345,7 +345,7 @@
             m = parts[0]
             if len(parts) < 2:
                 _bad("batch", "message", "a message for an instance", line)
-            me = _whole(m, "ingress", parts[1])
+            me = _integer(m, "ingress", parts[1])
             if m == "CRASH_NOW":
                 _count(m, parts, 2)
                 self.gateways.pop(me, None)
@@ -354,7 +354,7 @@
                 if len(parts) < 3:
                     _bad(m, "fields", "ingress, seed and profileData", len(parts) - 1)
                 settings, fields = read_settings(parts[3:])
-                seed = _whole(m, "seed", parts[2], -(2**63))
+                seed = _integer(m, "seed", parts[2], -(2**63))
                 classes = {c.name: c for c in settings.classes}
                 plans = {q.name: q for q in settings.plans}
                 self.gateways[me] = (self.make(settings, seed, now), fields, classes, plans)
--- a/simulation/model/client_load.py
+++ b/simulation/model/client_load.py
@@ -36,9 +36,8 @@
         self.zones = spec.zones
         self.count = 0
         self.pressure: dict[int, float] = {}  # tenants that send many times their usual
-        self.idle: dict[
-            tuple[str, int], SimulatedClientConnection
-        ] = {}  # kept connections, by zone and client
+        # Kept connections, by zone and client.
+        self.idle: dict[tuple[str, int], SimulatedClientConnection] = {}
         self.until = spec.day.seconds
         self.places = {zone: Location(f"clients {zone}", f"clients {zone}") for zone in self.zones}
 
--- a/simulation/model/disruptions/schedule.py
+++ b/simulation/model/disruptions/schedule.py
@@ -24,9 +24,8 @@
         self.simulator = deployment.simulator
         self.record = deployment.record
         self.rng = self.simulator.chance()
-        self.after_next_ack: list[
-            tuple[Disruption, Callable[[Machine], None]]
-        ] = []  # for after the next acknowledgement
+        # For after the next acknowledgement.
+        self.after_next_ack: list[tuple[Disruption, Callable[[Machine], None]]] = []
         operator_pool.listeners.append(self.answered)
 
     def plan(self, disruptions: Sequence[Disruption]) -> None:
--- a/tests/gateway/proxy/call_simulation.py
+++ b/tests/gateway/proxy/call_simulation.py
@@ -425,7 +425,7 @@
             assert ask.safe or runs[name] <= 1, f"{name} runs {runs[name]} times"
         for client_connection in self.client_connections:
             self.heard(client_connection, runs)
-        assert not self.ingress.held and not self.decisions.service_by_request
+        assert not self.ingress.pending and not self.decisions.service_by_request
         assert not any(s.active_requests or s.limit.in_flight for s in self.decisions.services.values())
 
     def heard(self, client_connection: SimulatedClient, runs: Counter[str]) -> None:
--- a/tests/gateway/proxy/test_client_gone.py
+++ b/tests/gateway/proxy/test_client_gone.py
@@ -25,7 +25,7 @@
         await until(lambda: plane.peers["i1"].seen)
         client.writer.write_eof() if half else client.writer.close()
         await until(plane.peers["i1"].seen[0].ended)
-        await until(lambda: not plane.ingress.held)
+        await until(lambda: not plane.ingress.pending)
         assert plane.ingress.statistics.counts["attempt cancelled"] == 1  # and didn't end with its deadline
         assert not plane.decisions.service_by_request and plane.decisions.services["s1"].limit.in_flight == 0
 
@@ -40,7 +40,7 @@
         await until(lambda: plane.peers["i1"].seen)
         client.writer.close()
         await until(lambda: not plane.server.connections)
-        assert plane.ingress.held and not plane.peers["i1"].seen[0].ended()
+        assert plane.ingress.pending and not plane.peers["i1"].seen[0].ended()
 
     run(main())
 
@@ -58,7 +58,7 @@
         first.writer.write(asked(name="a3"))
         await until(lambda: len(plane.peers["i1"].seen) == 3)
         first.writer.close()
-        await until(lambda: not plane.ingress.held)
+        await until(lambda: not plane.ingress.pending)
         assert await plane.ask(asked(name="a4"), second) == 200
         assert connections == 2 and plane.peers["i1"].connections == 2
 
@@ -75,7 +75,7 @@
         client.writer.write_eof() if half else client.writer.close()
         await until(lambda: not plane.server.connections)
         assert plane.ingress.statistics.counts["t1 gone"] == 1  # and not answered at its deadline
-        assert not plane.ingress.held and len(plane.peers["i1"].seen) == 1
+        assert not plane.ingress.pending and len(plane.peers["i1"].seen) == 1
 
     run(main())
 
@@ -102,6 +102,6 @@
         client.writer.transport.abort()
         await until(lambda: not plane.server.connections)
         assert plane.ingress.statistics.counts["t1 gone"] == 1
-        assert not plane.ingress.held and not plane.upstream.connections
+        assert not plane.ingress.pending and not plane.upstream.connections
 
     run(main())
--- a/tests/gateway/proxy/test_message_ends.py
+++ b/tests/gateway/proxy/test_message_ends.py
@@ -168,7 +168,7 @@
         reset(plane.peers["i1"].seen[-1])
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await rest(client, headers)
-        await until(lambda: not plane.ingress.held)
+        await until(lambda: not plane.ingress.pending)
 
     run(main())
 
--- a/tests/gateway/proxy/test_proxy.py
+++ b/tests/gateway/proxy/test_proxy.py
@@ -108,7 +108,7 @@
             await plane.ask(raw, client)
         assert "\n".join(plane.said) == snapshot
         assert (
-            not plane.ingress.held
+            not plane.ingress.pending
             and not plane.decisions.service_by_request
             and not plane.decisions.charged_requests
         )
@@ -139,7 +139,7 @@
         client.writer.write(asked())
         await until(lambda: plane.charges)
         client.writer.close()
-        await until(lambda: not plane.ingress.held)
+        await until(lambda: not plane.ingress.pending)
         plane.ingress.handle_quota(Received(HOLDER, pb.Message(verdict=pb.Verdict(id=plane.charges[0]))))
         assert plane.said == ["count  charge: go", "count  one given back"]
         assert not plane.peers["i1"].seen and not plane.decisions.pending_charges
@@ -194,7 +194,7 @@
         assert await plane.ask(asked(name="a2"), client) == 503
         service.send = send  # type: ignore[method-assign]
         assert await plane.ask(asked(name="a3"), client) == 200
-        assert not plane.ingress.held and "sending request a2 on" in caplog.text
+        assert not plane.ingress.pending and "sending request a2 on" in caplog.text
 
     run(main())
 
--- a/tests/gateway/proxy/test_silent_backend.py
+++ b/tests/gateway/proxy/test_silent_backend.py
@@ -75,7 +75,7 @@
         plane, client = await half_of_a_large_answer(100)
         with pytest.raises(asyncio.IncompleteReadError):
             await client.reader.readexactly(len(LARGE))
-        await until(lambda: not plane.ingress.held)
+        await until(lambda: not plane.ingress.pending)
 
     run(main())
 
--- a/tests/gateway/test_compatibility.py
+++ b/tests/gateway/test_compatibility.py
@@ -66,7 +66,7 @@
 
 def test_the_cordons_of_an_earlier_release_are_read(tmp_path: Path) -> None:
     shutil.copy(STORED / "roadspur-cordons.json", tmp_path)
-    cordons = State(str(tmp_path)).news()
+    cordons = State(str(tmp_path)).changed_cordons()
     assert cordons == {"b0": (1700000000.5, 0.0), "b1": (1700000001.0, 1700000300.25)}
 
 
--- a/tests/ingress/ingress_driver.py
+++ b/tests/ingress/ingress_driver.py
@@ -12,7 +12,7 @@
 ZONED = io.ClassSettings("zoned", io.Effect.KEYED, 2.0, 6.0, group=io.Group.ZONE, window=1.0)
 UNSAFE = io.ClassSettings("once", io.Effect.UNSAFE, objective=2.0, deadline=6.0, worth=3)
 PLAN = io.PlanSettings("basic", rate=2.0, burst=8.0)
-CEILED = io.PlanSettings("plus", rate=10.0, burst=20.0, ceiling_rate=16.0, ceiling_burst=32.0)
+CEILED = io.PlanSettings("plus", rate=10.0, burst=20.0, limit_rate=16.0, limit_burst=32.0)
 
 
 class GatewayDriver:
@@ -33,7 +33,7 @@
             zone="z0",
             step=0.002,
             start_capacity=0.2,
-            cold_time=10.0,
+            slow_start_s=10.0,
             fall_multiple=2.5,
             fall_after=1.0,
             max_retry_after=1.0,
--- a/tests/ingress/socket_rig.py
+++ b/tests/ingress/socket_rig.py
@@ -42,7 +42,7 @@
         max_units=4.0,
         max_attempts=3,
         settles=True,
-        may_probe=True,
+        may_check_health=True,
         may_cancel=True,
         connect_timeout=2.0,
         max_retry_after=1.0,
--- a/tests/ingress/test_admission.py
+++ b/tests/ingress/test_admission.py
@@ -38,7 +38,7 @@
     first = g.ask(units=8.0)
     name = only(first, io.CounterAdd).name
     only(first, io.Attempt)
-    g.gw.call_policy.asked = 0.0  # no refusal without a call
+    g.gw.call_policy.calls_per_request = 0.0  # no refusal without a call
     acts = g.ask(units=1.0)
     assert [a.amount for a in some(acts, io.CounterAdd)] == [1.0, -1.0]
     only(acts, io.Refuse)
@@ -88,7 +88,7 @@
     serve(g, g.ask(units=4.0))
     serve(g, g.ask(units=4.0))
     g.counts.clear()
-    g.gw.call_policy.asked = 0.0
+    g.gw.call_policy.calls_per_request = 0.0
     only(g.ask(units=2.0), io.Refuse)
 
 
@@ -116,7 +116,7 @@
     g.counter = "refusing"
     for k in range(60):
         serve(g, g.ask(customer=100 + k))
-    g.gw.call_policy.ask = 1.0  # this one calls
+    g.gw.call_policy.call_share = 1.0  # this one calls
     before = g.gw.call_policy.misses
     serve(g, g.ask(units=1.0))
     assert g.gw.call_policy.misses > before
@@ -149,7 +149,7 @@
             sent += serve(g, g.ask(units=1.0, plan="plus", width=width))
             g.now += 0.02
             t += 0.02
-    assert sent <= CEILED.ceiling_burst + CEILED.ceiling_rate * seconds
+    assert sent <= CEILED.limit_burst + CEILED.limit_rate * seconds
     assert sent >= 0.4 * CEILED.rate * seconds
 
 
@@ -166,7 +166,7 @@
         for more, kind in ((0.1, io.Refuse), (-0.1, io.Attempt)):
             g.now += 100.0  # full again
             g.gw.customers.known[7].pending, g.gw.customers.known[7].part = 0.0, 1.0
-            g.gw.call_policy.ask = 0.0
+            g.gw.call_policy.call_share = 0.0
             only(g.ask(units=units + more, plan="plus", width=2), kind)
 
 
@@ -174,7 +174,7 @@
     g = GatewayDriver()
     g.counter = "refusing"
     sent = sum(serve(g, g.ask(units=1.0, plan="plus", width=2)) for _ in range(40))
-    assert sent <= (CEILED.ceiling_burst - CEILED.burst) / 2 + 1
+    assert sent <= (CEILED.limit_burst - CEILED.burst) / 2 + 1
 
 
 @pytest.mark.parametrize(
@@ -218,7 +218,7 @@
 def test_without_history_most_of_a_burst_is_carried_over_but_not_all():
     # Half a burst refused customers seldom seen at an ingress on quiet days; a whole one gave edges away.
     g = GatewayDriver()
-    g.gw.call_policy.asked = 0.0
+    g.gw.call_policy.calls_per_request = 0.0
     sent = sum(serve(g, g.ask(units=1.0)) for _ in range(20))
     into = (g.now + g.gw.customers.known[7].phase) % g.gw.customers.known[7].length
     assert 0.5 * PLAN.burst < sent <= min(PLAN.burst, 0.8 * PLAN.burst + PLAN.rate * into)
@@ -234,7 +234,7 @@
     sent = 0.0
     for step in range(240):  # 24 s, six windows, four times the quota
         g = peers[step % 60]
-        g.now, g.counts, g.gw.call_policy.ask = 100.0 + step * 0.1, shared, 1.0
+        g.now, g.counts, g.gw.call_policy.call_share = 100.0 + step * 0.1, shared, 1.0
         sent += serve(g, g.ask(units=1.0, width=60))
     assert 5 * PLAN.burst <= sent <= 7 * PLAN.burst
 
@@ -245,11 +245,11 @@
     g.counter = "refusing"
     for k in range(30):
         serve(g, g.ask(customer=k))
-    assert g.gw.call_policy.ask <= 0.25
+    assert g.gw.call_policy.call_share <= 0.25
     g.counter = "up"
     for k in range(400):
         serve(g, g.ask(customer=1000 + k))
-    assert g.gw.call_policy.ask == 1.0
+    assert g.gw.call_policy.call_share == 1.0
 
 
 def test_where_calls_are_short_those_go_first_that_a_share_would_refuse():
@@ -258,19 +258,22 @@
     calls = {units: 0 for units in (1.0, 4.0)}
     for _ in range(400):
         for units in calls:
-            g.gw.call_policy.ask = 0.25
+            g.gw.call_policy.call_share = 0.25
             acts = g.ask(units=units, customer=g.n, plan="plus", width=4)  # its share holds one unit
             g.end(only(acts, io.Attempt))
             calls[units] += len(some(acts, io.CounterAdd))
     assert calls[4.0] == 400 and calls[1.0] < 50  # no verdict of the counter is needed for those
-    g.gw.call_policy.ask, g.gw.call_policy.misses = 0.0, OUTAGE_MISSES  # nobody answers: the share decides
+    g.gw.call_policy.call_share, g.gw.call_policy.misses = (
+        0.0,
+        OUTAGE_MISSES,
+    )  # nobody answers: the share decides
     assert [type(a) for a in g.ask(units=4.0, customer=5000, plan="plus", width=4)] == [io.Refuse]
 
 
 def test_share_under_one_request_admits_whole_ones_by_chance():
     # A share of a burst under one request refused every request while the counter was crowded.
     g = GatewayDriver(instances=300)
-    g.gw.call_policy.ask = 0.0
+    g.gw.call_policy.call_share = 0.0
     sent = sum(serve(g, g.ask(customer=k, width=300)) for k in range(100))
     assert sent == 100  # an unseen customer is most often calm
     sent = 0
@@ -285,20 +288,20 @@
     g = GatewayDriver(instances=300)
     amounts = set()
     for k in range(40):
-        g.gw.call_policy.ask = 0.5
+        g.gw.call_policy.call_share = 0.5
         amounts |= {a.amount for a in some(g.ask(customer=k, width=300), io.CounterAdd)}
     assert amounts == {2.0}
 
 
 def test_a_used_up_window_is_told_to_peers_who_refuse_without_a_call():
     g = GatewayDriver(instances=300, peers=True)
-    g.gw.call_policy.ask = 1.0
+    g.gw.call_policy.call_share = 1.0
     name = only(g.ask(units=1.0, width=300), io.CounterAdd).name
     g.counts[name] = 20.0
     told = only(g.ask(units=1.0, width=300), io.SendPeerMessage)
     assert told.peer is None and len(told.payload) == 5
     other = GatewayDriver(instances=300, peers=True)
-    other.gw.call_policy.ask = 0.9
+    other.gw.call_policy.call_share = 0.9
     other.give(io.PeerMessage(3, told.payload))
     acts = other.ask(units=1.0, width=300)
     only(acts, io.Refuse)
@@ -322,7 +325,7 @@
     g.counter = "refusing"
     for k in range(600):
         serve(g, g.ask(customer=k))
-    assert g.gw.call_policy.misses > OUTAGE_MISSES and g.gw.call_policy.ask >= 0.2
+    assert g.gw.call_policy.misses > OUTAGE_MISSES and g.gw.call_policy.call_share >= 0.2
 
 
 def test_what_no_slot_can_serve_in_time_is_not_charged():
@@ -339,7 +342,7 @@
     # In a counter outage every unseen customer was let in without end.
     g = GatewayDriver(instances=300)
     g.counter = "silent"
-    g.gw.call_policy.ask = 0.0
+    g.gw.call_policy.call_share = 0.0
     assert sum(serve(g, g.ask(width=300)) for _ in range(100)) <= 20
 
 
@@ -354,18 +357,18 @@
     i = GatewayDriver()
     for customer in range(4):
         i.ask(customer=customer)
-    i.now += i.gw.customers.kept + 1
+    i.now += i.gw.customers.retention_s + 1
     i.ask(customer=3)
     i.ask(customer=9)
     assert list(i.gw.customers.known) == [3, 9]
     for customer in range(10, 20):  # none is dropped while it is heard of
-        i.now += i.gw.customers.kept / 4
+        i.now += i.gw.customers.retention_s / 4
         for known in (3, 9, customer):
             i.ask(customer=known)
     assert {3, 9, 19} <= set(i.gw.customers.known) and 10 not in i.gw.customers.known
     i.counter = "silent"
     i.ask(customer=30)
-    i.now += 2 * i.gw.customers.kept
+    i.now += 2 * i.gw.customers.retention_s
     i.ask(customer=31)
     assert set(i.gw.customers.known) == {30, 31}  # a call without its answer keeps its customer
 
@@ -373,7 +376,7 @@
 def test_windows_that_are_used_up_are_forgotten_though_some_are_told_of_again():
     i = GatewayDriver(peers=True)
     for n in range(1000):
-        i.now += i.gw.customers.kept / 10
+        i.now += i.gw.customers.retention_s / 10
         i.give(io.PeerMessage(1, b"again"))
         i.give(io.PeerMessage(1, b"w%d" % n))
     assert len(i.gw.gossip.spent) <= 13
@@ -389,7 +392,7 @@
     only(g.give(io.CounterReply(name, io.Outcome.OK, 0.001, 4.0)), io.Attempt)
     only(g.ask(units=4.0), io.CounterAdd)
     only(g.give(io.CounterReply(name, io.Outcome.ERROR, 0.001, 0.0)), io.Attempt)
-    g.gw.call_policy.asked = 0.0  # no refusal without a call
+    g.gw.call_policy.calls_per_request = 0.0  # no refusal without a call
     only(g.ask(units=2.0), io.CounterAdd)
     acts = g.give(io.CounterReply(name, io.Outcome.ERROR, 0.001, 0.0))  # 10 of 8: refused and added back
     only(acts, io.Refuse)
@@ -405,7 +408,9 @@
         ]
         for node in self.nodes:
             node.counts = self.nodes[0].counts
-            node.now += node.gw.customers.kept  # who is met from here on is followed from the first request
+            node.now += (
+                node.gw.customers.retention_s
+            )  # who is met from here on is followed from the first request
         self.tell()
 
     def tell(self, lost: int = -1) -> None:
@@ -493,7 +498,7 @@
     s.tell()
     for n in (0, 2):
         s.nodes[1].give(io.PeerMessage(n, gossip.USAGE_PREFIX))
-    s.nodes[1].gw.call_policy.ask = 0.0
+    s.nodes[1].gw.call_policy.call_share = 0.0
     only(s.nodes[1].ask(units=1.0, width=3), io.Attempt)
 
 
@@ -534,7 +539,7 @@
     s.tell()
     s.later(5.0)
     node = s.nodes[0]
-    node.gw.call_policy.ask = 0.0
+    node.gw.call_policy.call_share = 0.0
     assert sum(serve(node, node.ask(units=1.0, width=3)) for _ in range(9)) == 8
 
 
@@ -602,4 +607,4 @@
     assert g.gw.call_policy.misses >= OUTAGE_MISSES
     while g.gw.call_policy.misses:
         ask("up")
-    assert g.gw.call_policy.ask < 0.3
+    assert g.gw.call_policy.call_share < 0.3
--- a/tests/ingress/test_attempts.py
+++ b/tests/ingress/test_attempts.py
@@ -91,14 +91,14 @@
 
 def test_absent_from_a_whole_list_is_gone_and_a_failed_list_changes_nothing():
     g = GatewayDriver(backends=2)
-    g.give(io.ListUpdate(io.ListKind.WHOLE, 2, (io.BackendEntry("b1", io.Phase.RUNNING),)))
+    g.give(io.ListUpdate(io.ListKind.FULL, 2, (io.BackendEntry("b1", io.Phase.RUNNING),)))
     g.give(io.ListUpdate(io.ListKind.FAILED, 2))
     assert only(g.ask(), io.Attempt).backend == "b1"
 
 
 def test_no_backend_still_gives_the_one_answer_in_time():
     g = GatewayDriver(backends=2)
-    g.give(io.ListUpdate(io.ListKind.WHOLE, 2, ()))
+    g.give(io.ListUpdate(io.ListKind.FULL, 2, ()))
     acts = g.ask("once") + g.beat(2.0)
     assert isinstance(finals(acts)[0], io.Refuse) and len(finals(acts)) == 1
 
@@ -265,7 +265,7 @@
         io.ClientGone("nobody"),
         io.PeerMessage(1, b"x"),
         io.AttemptStarted("nobody", 0, "b0", 0.1),
-        io.ProbeEnded("b0", io.Outcome.OK, 0.1),
+        io.HealthCheckEnded("b0", io.Outcome.OK, 0.1),
         io.AttemptEnded("nobody", 0, "nowhere", io.Outcome.OK, 0.1, True),
     ):
         assert not finals(g.give(e))
@@ -422,7 +422,7 @@
     assert i.gw.limit.in_flight == 0
     i.give(io.ListUpdate(io.ListKind.CHANGE, 3))
     assert not i.gw.fleet.backends
-    i.give(io.ListUpdate(io.ListKind.WHOLE, 3, (io.BackendEntry("b9", io.Phase.RUNNING),)))
+    i.give(io.ListUpdate(io.ListKind.FULL, 3, (io.BackendEntry("b9", io.Phase.RUNNING),)))
     assert set(i.gw.fleet.backends) == {"b9"}
 
 
@@ -438,8 +438,8 @@
     """A count that stays up for ever would use up the limit on attempts out."""
     g = GatewayDriver(backends=1)
     attempt = only(g.ask(), io.Attempt)
-    g.give(io.ListUpdate(io.ListKind.WHOLE, 2, entries))
-    g.give(io.ListUpdate(io.ListKind.WHOLE, 3, ()))
+    g.give(io.ListUpdate(io.ListKind.FULL, 2, entries))
+    g.give(io.ListUpdate(io.ListKind.FULL, 3, ()))
     assert g.gw.limit.in_flight == 1
     g.end(attempt, io.Outcome.RESET)
     assert g.gw.limit.in_flight == 0
--- a/tests/ingress/test_concurrency_cap.py
+++ b/tests/ingress/test_concurrency_cap.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ingress import interface as io
-from ingress.opencap import KEEP
+from ingress.opencap import RELEASE_TIMER
 from tests.ingress.ingress_driver import GatewayDriver, only, some
 
 CAPPED = io.PlanSettings("full", rate=0.0, burst=0.0, max_open=2, over_cost=0.6)
@@ -65,7 +65,7 @@
     a.counter = "refusing"
     only(a.ask(plan="full"), io.Attempt)
     a.counter = "up"
-    a.gw.call_policy.ask = 1.0
+    a.gw.call_policy.call_share = 1.0
     only(a.ask(plan="full"), io.Attempt)
     only(b.ask(plan="full"), io.Refuse)
 
@@ -94,7 +94,7 @@
     g = GatewayDriver(plans=(CAPPED,), instances=2)
     for customer in range(50):
         only(g.ask(plan="full", customer=customer), io.Attempt)
-        g.gw.call_policy.ask = 0.25
+        g.gw.call_policy.call_share = 0.25
         acts = g.ask(plan="full", customer=customer)
         only(acts, io.CounterAdd)
         for a in some(g.log, io.Attempt)[-2:]:
@@ -104,7 +104,7 @@
 def test_where_calls_are_short_a_place_is_kept_for_the_next_request_and_then_given_back():
     a, b = pair()
     first, other = only(a.ask(plan="full"), io.Attempt), only(b.ask(plan="full"), io.Attempt)
-    a.gw.call_policy.ask = 0.5
+    a.gw.call_policy.call_share = 0.5
     kept = a.end(first)
     assert not some(kept, io.CounterAdd)
     again = a.ask(plan="full")
@@ -123,7 +123,7 @@
         only(b.ask(plan="full"), io.Attempt)
     only(a.ask(plan="full"), io.Refuse)
     for _ in range(20):
-        a.gw.call_policy.ask = 0.25
+        a.gw.call_policy.call_share = 0.25
         only(a.ask(plan="full"), io.Refuse)  # unasked, its even share would let it in
 
 
@@ -132,7 +132,7 @@
     fleet = [GatewayDriver(plans=(CAPPED,), instances=40, seed=n) for n in range(40)]
     calls = asked = 0
     for n, g in enumerate(fleet):
-        g.gw.call_policy.ask = 0.05
+        g.gw.call_policy.call_share = 0.05
         acts = g.ask(plan="full", customer=n, width=40)
         if some(acts, io.CounterAdd):
             asked += 1
@@ -147,7 +147,7 @@
     a, b = pair()
     for _ in range(2):
         only(a.ask(plan="full"), io.Attempt)
-    a.gw.call_policy.ask = 0.5
+    a.gw.call_policy.call_share = 0.5
     a.beat(a.gw.cap.length)
     b.now = a.now
     only(b.ask(plan="full"), io.Refuse)
@@ -182,8 +182,8 @@
     for n in range(1200):
         g = fleet[n * 17 % 40]
         g.now, g.counts = 100.0 + n * 0.03, fleet[0].counts
-        g.give(io.TimerFired(KEEP))
-        g.gw.latency["read"], g.gw.call_policy.ask = 0.15, 0.5
+        g.give(io.TimerFired(RELEASE_TIMER))
+        g.gw.latency["read"], g.gw.call_policy.call_share = 0.15, 0.5
         acts = g.ask(plan="full", width=40)
         if not some(acts, io.CounterAdd):
             unseen, sent = unseen + 1, sent + len(some(acts, io.Attempt))
@@ -202,13 +202,13 @@
             g.gw.latency["read"] = 0.15
         start = a.gw.cap.length * 33  # of a window of the count
         for n in range(60):  # 20 a second: three open where none is turned away
-            a.now, a.gw.call_policy.ask = start + 0.05 * (n + 1), 1.0
+            a.now, a.gw.call_policy.call_share = start + 0.05 * (n + 1), 1.0
             for sent in some(a.ask(plan="full", width=40), io.Attempt):
                 a.end(sent, elapsed=0.15)
-        b.now, b.gw.call_policy.ask = a.now, 1.0
+        b.now, b.gw.call_policy.call_share = a.now, 1.0
         for sent in some(b.ask(plan="full", width=40), io.Attempt):
             b.end(sent, elapsed=0.15)
-        b.counter, b.gw.call_policy.ask = "timeout", 0.05
+        b.counter, b.gw.call_policy.call_share = "timeout", 0.05
         let_in += len(some(b.ask(plan="full", width=40), io.Attempt))
     assert 5 <= let_in <= 25
 
@@ -227,8 +227,8 @@
         g, calls = GatewayDriver(plans=(CAPPED,), instances=40), 0
         for n in range(1000):
             g.now += 0.25
-            g.gw.latency["read"], g.gw.call_policy.ask = 0.15, 0.2
-            g.give(io.TimerFired(KEEP))
+            g.gw.latency["read"], g.gw.call_policy.call_share = 0.15, 0.2
+            g.give(io.TimerFired(RELEASE_TIMER))
             acts = g.ask(plan="full", customer=n % customers, width=40)
             calls += len(some(acts, io.CounterAdd))
             for a in some(acts, io.Attempt):
@@ -244,7 +244,7 @@
     plan = io.PlanSettings("full", rate=0.0, burst=0.0, max_open=most, over_cost=0.6)
     g = GatewayDriver(plans=(plan,), instances=40)
     for _ in range(400):
-        g.gw.call_policy.ask = 0.2
+        g.gw.call_policy.call_share = 0.2
         acts = g.ask(plan="full", width=40)
         for a in some(acts, io.Attempt):
             g.end(a, elapsed=0.15)
--- a/tests/ingress/test_cordon.py
+++ b/tests/ingress/test_cordon.py
@@ -69,9 +69,9 @@
     g.now += 30
     g.give(io.Cordon("b0", False))
     b = g.gw.fleet.backends["b0"]
-    assert g.gw.fleet.cold(g.now, b) == pytest.approx(0.2)
+    assert g.gw.fleet.slow_start_capacity(g.now, b) == pytest.approx(0.2)
     relist(g, born=g.now - 5)  # it has been up for half of its cold time
-    assert g.gw.fleet.cold(g.now, g.gw.fleet.backends["b0"]) == pytest.approx(0.6)
+    assert g.gw.fleet.slow_start_capacity(g.now, g.gw.fleet.backends["b0"]) == pytest.approx(0.6)
 
 
 def test_a_backend_put_back_that_the_list_calls_long_up_stays_cold_through_further_lists():
@@ -80,7 +80,7 @@
     g.now += 1
     g.give(io.Cordon("b0", False))
     relist(g)
-    assert g.gw.fleet.cold(g.now, g.gw.fleet.backends["b0"]) == pytest.approx(0.2)
+    assert g.gw.fleet.slow_start_capacity(g.now, g.gw.fleet.backends["b0"]) == pytest.approx(0.2)
 
 
 def test_a_backend_put_back_is_not_ejected_for_what_it_did_before():
@@ -102,7 +102,7 @@
 def test_a_process_that_begins_takes_over_what_is_out():
     g = GatewayDriver(backends=3)
     g.give(io.Cordons({"b0": io.CordonEntry(g.now - 3), "b1": io.CordonEntry(g.now - 9, g.now - 5)}))
-    assert g.gw.fleet.cold(g.now, g.gw.fleet.backends["b1"]) == pytest.approx(0.6)
+    assert g.gw.fleet.slow_start_capacity(g.now, g.gw.fleet.backends["b1"]) == pytest.approx(0.6)
     assert backends_used(g) == {"b1", "b2"}
 
 
@@ -113,11 +113,11 @@
 
 def test_what_one_process_writes_the_other_reads_once(tmp_path):
     one, two = State(str(tmp_path)), State(str(tmp_path))
-    assert one.news() is None
+    assert one.changed_cordons() is None
     one.write(BANS)
-    assert two.news() == BANS and two.news() is None and one.news() is None
+    assert two.changed_cordons() == BANS and two.changed_cordons() is None and one.changed_cordons() is None
     two.write({})
-    assert one.news() == {}
+    assert one.changed_cordons() == {}
 
 
 @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
     (tmp_path / NAME).write_bytes(text.encode("latin-1"))
     state = State(str(tmp_path))
     state.join()
-    assert state.news() is None and state.news() is None
+    assert state.changed_cordons() is None and state.changed_cordons() is None
     state.leave()
 
 
@@ -147,7 +147,7 @@
         state = State(folder)
         state.join()
         assert state.change(lambda cordon_entries: None, lambda: BANS)
-        assert state.news() is None and state.others() == []
+        assert state.changed_cordons() is None and state.siblings() == []
         state.leave()
 
 
@@ -156,7 +156,7 @@
     (tmp_path / f"{NAME}.1").write_text("half")
     state = State(str(tmp_path))
     state.join()
-    assert state.others() == []
+    assert state.siblings() == []
     assert {p.name for p in tmp_path.iterdir()} == {"roadspur.lock", f"{PROCESS}{os.getpid()}"}
 
 
@@ -169,7 +169,7 @@
         with monkeypatch.context() as m:
             m.setattr(os, "getpid", lambda: 7)
             other.join()
-        other.tell(49, 100)
+        other.publish(49, 100)
         rig.ingress.state = State(str(tmp_path))
         rig.ingress.follow(1)
         assert rig.ingress.beside == 1 and io.SiblingProcesses(1) in rig.script.events
@@ -189,7 +189,7 @@
     for processes, most in ((0, alone), (1, together)):
         g = GatewayDriver(backends=4, instances=2)
         g.counter = "refusing"
-        g.gw.call_policy.misses, g.gw.call_policy.ask = 100, 0.0
+        g.gw.call_policy.misses, g.gw.call_policy.call_share = 100, 0.0
         g.give(io.SiblingProcesses(processes))
         let_in = sum(len(some(g.ask(plan=plan, width=width), io.Attempt)) for _ in range(30))
         assert 0 < let_in <= most
--- a/tests/ingress/test_flow.py
+++ b/tests/ingress/test_flow.py
@@ -70,7 +70,7 @@
             assert (await read_answer(client))[1] == want
         await until(lambda: len(rig.script.ends()) == 2)
         assert all(e.done and e.outcome is io.Outcome.OK for e in rig.script.ends())
-        assert not rig.ingress.held and backend.connections == (1 if ends is None else 2)
+        assert not rig.ingress.pending and backend.connections == (1 if ends is None else 2)
         assert rig.ingress.statistics.totals["completed.read"] == 2
 
     run(main())
@@ -92,7 +92,7 @@
         await client.reader.readuntil(b"\r\n\r\n")
         assert [e for e in rig.script.events if isinstance(e, io.AttemptStarted)] and not rig.script.ends()
         assert "pending=1" in rig.ingress.figures()
-        held = next(iter(rig.ingress.held.values()))
+        held = next(iter(rig.ingress.pending.values()))
         await until(lambda: asyncio.get_running_loop().time() > held.deadline + 0.05)
         go.set()
         assert await client.reader.readexactly(len(LARGE)) == LARGE
@@ -146,7 +146,7 @@
         client.writer.write(call())
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await read_answer(client)
-        await until(lambda: not rig.ingress.held)
+        await until(lambda: not rig.ingress.pending)
 
     run(main())
 
@@ -214,7 +214,7 @@
         client.writer.write(call())
         await client.reader.readuntil(b"\r\n\r\n")
         client.writer.transport.abort()
-        await until(lambda: not rig.ingress.held)
+        await until(lambda: not rig.ingress.pending)
         await until(backend.seen[0].ended)
         assert [e.done for e in rig.script.ends()] == [True]
 
@@ -290,7 +290,7 @@
         for n in (1, 2):
             client.writer.write(post(f"r{n}", LARGE * 3, chunk))
             assert (await client.answer())[0] == 200
-        assert backend.got == [LARGE * 3] * 2 and not rig.ingress.held
+        assert backend.got == [LARGE * 3] * 2 and not rig.ingress.pending
         assert [e.flows for e in rig.script.events if isinstance(e, io.Request)] == [True, True]
         assert len([e for e in rig.script.events if isinstance(e, io.AttemptWritten)]) == 2
         assert rig.ingress.statistics.totals["upstream_requests"] == 2
@@ -305,7 +305,7 @@
         rig = IngressRig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         client.writer.write(post("r1", LARGE * 24))
-        await until(lambda: backend.heads and any(c.held_since for c in rig.server.connections))
+        await until(lambda: backend.heads and any(c.reading_suspended_at for c in rig.server.connections))
         theirs = next(iter(rig.upstream.connections)).transport
         assert theirs.get_write_buffer_size() < 1_000_000
         assert client.writer.transport.get_write_buffer_size() > 8 * len(LARGE)
@@ -342,7 +342,7 @@
         client.writer.write(raw[100_000:])
         await client.writer.drain()
         assert await client.reader.read() == b""
-        assert not rig.ingress.held
+        assert not rig.ingress.pending
 
     run(main())
 
@@ -361,7 +361,7 @@
         got, headers, _ = await client.answer()
         assert (got, headers["connection"]) == (status, "close")
         await until(lambda: backend.lost == 1)
-        assert not backend.got and not rig.ingress.held
+        assert not backend.got and not rig.ingress.pending
         assert [e.outcome for e in rig.script.ends()] == [io.Outcome.NOT_SENT]
 
     run(main())
@@ -391,7 +391,7 @@
         client.writer.write(post("r1", LARGE)[:-5])
         await until(lambda: backend.heads)
         client.writer.close()
-        await until(lambda: backend.lost == 1 and not rig.ingress.held)
+        await until(lambda: backend.lost == 1 and not rig.ingress.pending)
         assert not backend.got and [e.outcome for e in rig.script.ends()] == [io.Outcome.NOT_SENT]
 
     run(main())
@@ -490,7 +490,7 @@
         body = LARGE[:300_000]
         slow.writer.write(post("slow", body)[:-1])
         await until(lambda: rig.server.bodies == 300_000)
-        assert not rig.ingress.held  # it takes nobody's place before it is whole
+        assert not rig.ingress.pending  # it takes nobody's place before it is whole
         gone.writer.write(post("gone", LARGE[:150_000], 7000)[:-9])
         await until(lambda: rig.server.bodies > 440_000)
         gone.writer.close()
@@ -520,7 +520,7 @@
     assert g.gw.limit.in_flight == 0
     assert not some(g.beat(30.0), io.CancelAttempt) and not g.gw.fleet.backends["b0"].resting
     g.give(io.AttemptWritten("u1", 0, "b0"))
-    assert g.gw.limit.in_flight == 1 and g.gw.active_requests["u1"].aim == g.now + 2.0
+    assert g.gw.limit.in_flight == 1 and g.gw.active_requests["u1"].due_at == g.now + 2.0
     g.end(a)
     assert g.gw.limit.in_flight == 0 and not g.gw.active_requests and g.gw.latency["once"] < 1.0
 
--- a/tests/ingress/test_http_messages.py
+++ b/tests/ingress/test_http_messages.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from ingress.net.http_messages import MAX_WHOLE, ResponseEnd, ResponseReader
+from ingress.net.http_messages import MAX_BUFFERED_BODY, ResponseEnd, ResponseReader
 
 SMALL = b"HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nContent-Length: 2\r\n\r\nok"
-BODY = b"x" * (MAX_WHOLE + 1)
+BODY = b"x" * (MAX_BUFFERED_BODY + 1)
 LARGE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY) + BODY
 CHUNKS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(BODY), BODY)
 
--- a/tests/ingress/test_ingress.py
+++ b/tests/ingress/test_ingress.py
@@ -41,7 +41,7 @@
         assert request[:4] == ("r1", "pay", "basic", 0x1FFFFFFFF) and request[5:9] == (2.0, 2, 1, True)
         assert 5 < request.expires_in < 6
         assert rig.script.ends()[0].true_units == 3.0 and rig.script.ends()[0].done
-        assert not rig.ingress.held
+        assert not rig.ingress.pending
 
     run(main())
 
@@ -81,7 +81,7 @@
         status, headers, _ = await client.ask(call(budget="300m"))
         assert status == 503 and float(headers["retry-after"]) > 0
         assert asyncio.get_running_loop().time() - began < 5
-        assert rig.script.events[-1] == io.ClientGone("r1") and not rig.ingress.held
+        assert rig.script.events[-1] == io.ClientGone("r1") and not rig.ingress.pending
 
     run(main())
 
@@ -106,12 +106,12 @@
         rig = IngressRig(lambda e: [io.Attempt("r1", "b0")] if isinstance(e, io.TimerFired) else [])
         client = await rig.start(b0=backend.port)
         client.writer.write(call())
-        await until(lambda: rig.ingress.held)
+        await until(lambda: rig.ingress.pending)
         client.writer.close()
         await until(lambda: io.ClientGone("r1") in rig.script.events)
         rig.ingress.submit(io.TimerFired(1))
         assert [(e.outcome, e.done) for e in rig.script.ends()] == [(io.Outcome.NOT_SENT, True)]
-        assert not backend.seen and not rig.ingress.held
+        assert not backend.seen and not rig.ingress.pending
 
     run(main())
 
@@ -134,7 +134,7 @@
         go.set()
         await until(rig.script.ends)
         assert [(e.outcome, e.done) for e in rig.script.ends()] == [(io.Outcome.OK, True)]
-        assert not rig.ingress.held
+        assert not rig.ingress.pending
 
     run(main())
 
@@ -176,10 +176,10 @@
         rig = IngressRig(lambda event: [])
         first = await rig.start()
         first.writer.write(call("same"))
-        await until(lambda: rig.ingress.held)
+        await until(lambda: rig.ingress.pending)
         second = await Client.connect(rig.port)
         assert (await second.ask(call("same")))[0] == 400
-        assert len(rig.ingress.held) == 1
+        assert len(rig.ingress.pending) == 1
 
     run(main())
 
@@ -254,14 +254,14 @@
             b"HTTP/1.1 503 Busy\r\nContent-Length: %d\r\n\r\n%s" % (len(report), report)
         )
         rig = IngressRig(
-            lambda e: [io.Probe("b0"), io.Probe("b1")] if isinstance(e, io.TimerFired) else [],
+            lambda e: [io.HealthCheck("b0"), io.HealthCheck("b1")] if isinstance(e, io.TimerFired) else [],
             connect_timeout=5.0,
         )
         await rig.start(b0=backend.port, b1=closed_port())
         rig.ingress.submit(io.TimerFired(1))
 
         def found():
-            return {e.backend: e for e in rig.script.events if isinstance(e, io.ProbeEnded)}
+            return {e.backend: e for e in rig.script.events if isinstance(e, io.HealthCheckEnded)}
 
         await until(lambda: len(found()) == 2)
         assert found()["b0"].load == {"latency_ms": 14.5, "inflight": 7.0}
--- a/tests/ingress/test_server.py
+++ b/tests/ingress/test_server.py
@@ -244,7 +244,7 @@
         rig = IngressRig(lambda event: [])
         first = await rig.start()
         first.writer.write(call("same"))
-        await until(lambda: rig.ingress.held)
+        await until(lambda: rig.ingress.pending)
         for raw in (call("r1", X_Tier="unheard-of"), call("same"), call(path="/nowhere")):
             client = await Client.connect(rig.port)
             status, headers, _ = await client.ask(raw)
@@ -325,11 +325,11 @@
         rig.server.most = 1
         one = await rig.start()
         one.writer.write(call("r1"))
-        await until(lambda: rig.ingress.held)
+        await until(lambda: rig.ingress.pending)
         two = await Client.connect(rig.port)
         status, headers, _ = await two.ask(call("r2"))
         assert (status, headers["connection"]) == (503, "close") and float(headers["retry-after"]) > 0
-        assert await two.reader.read() == b"" and list(rig.ingress.held) == ["r1"]
+        assert await two.reader.read() == b"" and list(rig.ingress.pending) == ["r1"]
 
     run(main())
 
@@ -436,7 +436,7 @@
     async def main():
         old, new = IngressRig(in_turn("b0")), IngressRig(in_turn("b0"))
         state = State(str(tmp_path))
-        state.others = lambda: [(0, 0)]
+        state.siblings = lambda: [(0, 0)]
         old.ingress.state = state
         client = await old.start(b0=1)
         await new.start(b0=1)
--- a/tests/ingress/test_services.py
+++ b/tests/ingress/test_services.py
@@ -285,7 +285,7 @@
         assert [r.split(" ")[1] for r in agent.requests] == [
             f"/v1/servers?stream=1&index={i}" for i in (41, 42, 44)
         ]
-        assert (got[0].whole, got[1].whole) == (True, False)
+        assert (got[0].is_full, got[1].is_full) == (True, False)
         backend, endpoint = got[1].entries[0]
         assert (backend.backend, backend.phase, backend.born) == ("b1", io.Phase.STOPPING, 1.5)
         assert endpoint.address == (HOST, 81)
@@ -295,7 +295,7 @@
 
 def test_a_silent_watch_is_opened_anew(monkeypatch):
     monkeypatch.setattr(discovery_module, "RETRY_S", 0.001)
-    monkeypatch.setattr(discovery_module, "SILENCE_S", 0.05)
+    monkeypatch.setattr(discovery_module, "IDLE_TIMEOUT_S", 0.05)
 
     async def main():
         agent = await Agent().listen()
@@ -376,7 +376,7 @@
         go.set()
         await until(lambda: len(got) == 3)
         old.lines.put_nowait(text(43))
-        assert [(x.version, x.whole) for x in got] == [(42, False), (5, True), (6, False)]
+        assert [(x.version, x.is_full) for x in got] == [(42, False), (5, True), (6, False)]
         assert [s.line.split(" ")[1] for s in agent.seen] == ["/v1/servers", "/v1/servers?stream=1&index=5"]
         discovery.listed(object(), got[0])  # whatever is neither the present nor the newest says nothing
         assert len(got) == 3
--- a/tests/ingress/test_upstream.py
+++ b/tests/ingress/test_upstream.py
@@ -277,7 +277,7 @@
     """Two requests at once, after which two connections to the backend that holds them are idle."""
     two = await one.connect(rig.port)
     one.writer.write(call("a"))
-    await until(lambda: rig.ingress.held)
+    await until(lambda: rig.ingress.pending)
     two.writer.write(call("b"))
     await one.answer()
     await two.answer()
--- a/tests/ingress/test_wirehost.py
+++ b/tests/ingress/test_wirehost.py
@@ -74,7 +74,7 @@
         (["FIRED 3 9"], io.TimerFired(9)),
         (["EXPIRED 3 abc"], io.ClientGone("abc")),
         (["UNDER_WAY 3 abc 0.1 b:1 0"], io.AttemptStarted("abc", 0, "b:1", 0.1)),
-        (["PROBE_DONE 3 b:1 success 0.1 -"], io.ProbeEnded("b:1", io.Outcome.OK, 0.1)),
+        (["PROBE_DONE 3 b:1 success 0.1 -"], io.HealthCheckEnded("b:1", io.Outcome.OK, 0.1)),
         (["HEARD 3 2 68692037"], io.PeerMessage(2, b"hi 7")),
         (["HEARD 3 2 -"], io.PeerMessage(2, b"")),
     ],
@@ -103,7 +103,7 @@
         (io.Fail("abc"), "FINISH_ERROR 3 abc"),
         (io.SetTimer(0.5, 7), "DEFER 3 0.500000 7"),
         (io.CancelAttempt("abc", 1), "DROP_ATTEMPT 3 abc 1"),
-        (io.Probe("b:1"), "TOUCH 3 b:1"),
+        (io.HealthCheck("b:1"), "TOUCH 3 b:1"),
         (io.CloseIdle("b:1"), "CLOSE_IDLE 3 b:1"),
         (io.SendPeerMessage(None, b"hi 7"), "MEMO_TO 3 * 68692037"),
         (io.SendPeerMessage(2, b"a"), "MEMO_TO 3 2 61"),
@@ -122,7 +122,7 @@
     s = rec.settings
     assert (s.instances, s.me, s.counter, s.max_attempts, s.load_in_answers) == (2, 1, True, 3, True)
     assert s.classes[0].effect is io.Effect.SAFE
-    assert s.plans[0].burst == 8.0 and s.plans[0].ceiling_rate == 0.0
+    assert s.plans[0].burst == 8.0 and s.plans[0].limit_rate == 0.0
     assert rec.seed == 17
 
 
