--- a/gateway/membership/change_log.py
+++ b/gateway/membership/change_log.py
@@ -41,6 +41,7 @@
         self.zone = NOT_AN_INGRESS
 
     def is_live(self, now: float) -> bool:
+        """Whether the follower was heard lately."""
         return now - self.last_heard_at < FOLLOWER_LIVE_S
 
 
--- a/gateway/programs/proxy_node.py
+++ b/gateway/programs/proxy_node.py
@@ -90,6 +90,7 @@
         terms = services.settings(ASSUMED_INGRESSES, CONNECT_TIMEOUT_S, settings.own.zone)
 
         def budget(ingresses: int) -> RetryBudget:
+            """A service's retry budget."""
             return RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s, ingresses)
 
         decisions = Decisions(self.quota_client, terms, budget, rng)
--- a/gateway/programs/settings_reload.py
+++ b/gateway/programs/settings_reload.py
@@ -59,6 +59,7 @@
     """Start what a program does each second: check its settings file, and write pending logs."""
 
     def maintain(now: float) -> None:
+        """Write pending logs, and check the settings file."""
         ring.tick()
         reload.check_file()
 
--- a/gateway/runtime/http_listener.py
+++ b/gateway/runtime/http_listener.py
@@ -66,6 +66,7 @@
         self.pending[id(call)] = client
 
         def reply(status: int, lines: bytes = b"", body: bytes = b"") -> None:
+            """Answer the call, unless its caller has disconnected."""
             # The closure keeps the call alive, so no other call gets the same id() until then.
             if (caller := self.pending.pop(id(call), None)) is not None:
                 caller.reply(status, lines, body)
--- a/ingress/__main__.py
+++ b/ingress/__main__.py
@@ -12,32 +12,30 @@
 import time
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
-from typing import Any
 
 import uvloop
 
 from ingress import interface as io
 from ingress.control import Gateway
-from ingress.net.console import CommandRefused, Console, ConsoleCommand
+from ingress.errors import ConfigurationError
+from ingress.net.console import Console, ConsoleCommand
 from ingress.net.counter import Counter
 from ingress.net.discovery import Discovery, Listing, read_listing
+from ingress.net.errors import CommandRejectedError
 from ingress.net.http_messages import Address, read_address
 from ingress.net.ingress import Ingress
 from ingress.net.peers import Peers
 from ingress.net.process_state import State
 from ingress.net.server import Server
 from ingress.net.upstream import Upstream
-from ingress.wirehost import WireError, read_settings
+from ingress.wire_fields import WireError
+from ingress.wire_settings import read_settings
 
 log = logging.getLogger("ingress")
 
-STATE_S = 0.25  # interval of checks for state shared by another process of this ingress
+STATE_CHECK_INTERVAL_S = 0.25  # interval of checks for state shared by another process of this ingress
 BODY_MEMORY_DIVISOR = 8  # larger bodies may together take this fraction (1/8) of the memory
-SOCKETS_SPARE = 64  # file descriptors kept for other uses than client and backend connections
-
-
-class BadConfiguration(Exception):
-    """The configuration is missing or invalid; the message is one line."""
+RESERVED_DESCRIPTORS = 64  # file descriptors kept for other uses than client and backend connections
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +64,7 @@
     load_fields: tuple[str, ...]
 
 
-def flatten(value: Any, path: str) -> Iterator[str]:
+def flatten(value: object, path: str) -> Iterator[str]:
     """Yield nested settings in the simulator's path=value form, so that both are read by the same code."""
     if isinstance(value, dict):
         for key, item in value.items():
@@ -84,18 +82,19 @@
 def read_config(environ: Mapping[str, str]) -> Config:
     """Read the configuration file named by PROXY_CONFIG; its name and addresses default to the environment's.
 
-    Raises BadConfiguration if it is missing or invalid.
+    Raises:
+        ConfigurationError: The file is missing or invalid.
     """
     path = environ.get("PROXY_CONFIG")
     if not path:
-        raise BadConfiguration("PROXY_CONFIG is not set")
+        raise ConfigurationError("PROXY_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
     except (OSError, ValueError) as error:
-        raise BadConfiguration(f"{path}: {error}") from error
+        raise ConfigurationError(f"{path}: {error}") from error
     if not isinstance(data, dict) or not isinstance(data.get("settings"), dict):
-        raise BadConfiguration(f"{path}: settings: missing")
+        raise ConfigurationError(f"{path}: settings: missing")
     for key in ("name", "listen", "discovery", "console"):
         data.setdefault(key, environ.get(f"PROXY_{key.upper()}"))
 
@@ -126,21 +125,21 @@
             load_fields=fields,
         )
     except (WireError, ValueError, TypeError, AttributeError, KeyError) as error:
-        raise BadConfiguration(f"{path}: {error}") from error
+        raise ConfigurationError(f"{path}: {error}") from error
 
 
 def follow(server: Server) -> None:
     """Check periodically for state shared by another process of this ingress."""
     server.ingress.follow(len(server.connections))
-    server.loop.call_later(STATE_S, follow, server)
+    server.loop.call_later(STATE_CHECK_INTERVAL_S, follow, server)
 
 
 def calls(server: Server) -> dict[str, ConsoleCommand]:
     """The console commands that operators may send to this process, by name."""
 
-    def done(done: bool, otherwise: str) -> list[str]:
-        if not done:
-            raise CommandRefused(otherwise)
+    def done(success: bool, failure: str) -> list[str]:
+        if not success:
+            raise CommandRejectedError(failure)
         return ["done"]
 
     def health() -> list[str]:
@@ -169,24 +168,56 @@
     }
 
 
+async def connect_to_quota_services(
+    loop: asyncio.AbstractEventLoop, config: Config, ingress: Ingress
+) -> None:
+    """Start the client of the shared counter and the exchange of usage reports, where they are configured."""
+    settings = config.settings
+    if config.counter is not None and settings.counter:
+        ingress.counter = Counter(
+            loop, config.counter, settings.counter_timeout, ingress.submit, ingress.statistics
+        )
+    if config.peer_listen is not None and settings.peers:
+        peers = Peers(config.peers, config.peers_all, settings.me, ingress.submit)
+        await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
+        ingress.peers = peers
+
+
+def handle_signals(
+    loop: asyncio.AbstractEventLoop, config: Config, ingress: Ingress, discovery: Discovery
+) -> asyncio.Event:
+    """An event that SIGTERM or SIGINT sets; SIGHUP rereads the addresses of discovery and the counter."""
+
+    def reload() -> None:
+        """Read the file again and move to its discovery and counter addresses; all else needs a restart."""
+        try:
+            new = read_config(os.environ)
+        except ConfigurationError as error:
+            log.error("the configuration stays as it was: %s", error)
+            return
+        discovery.move(new.discovery)
+        if ingress.counter is not None and new.counter is not None:
+            ingress.counter.move(new.counter)
+        log.info("%s has reread its configuration", config.name)
+
+    stop = asyncio.Event()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    loop.add_signal_handler(signal.SIGHUP, reload)
+    return stop
+
+
 async def serve(config: Config) -> None:
     """Serve until SIGTERM or SIGINT, then drain and shut down."""
     loop = asyncio.get_running_loop()
-    share = max(16, (config.sockets - SOCKETS_SPARE) // 2)
+    share = max(16, (config.sockets - RESERVED_DESCRIPTORS) // 2)
     upstream = Upstream(loop, config.settings.connect_timeout or 1.0, config.idle, share)
     gateway = Gateway(config.settings, config.seed, time.time())
     state = State(os.environ.get("TMPDIR"))
     state.join()
     ingress = Ingress(loop, config.settings, gateway, upstream, config.load_fields, state)
     ingress.follow()
-    if config.counter is not None and config.settings.counter:
-        ingress.counter = Counter(
-            loop, config.counter, config.settings.counter_timeout, ingress.submit, ingress.statistics
-        )
-    if config.peer_listen is not None and config.settings.peers:
-        peers = Peers(config.peers, config.peers_all, config.settings.me, ingress.submit)
-        await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
-        ingress.peers = peers
+    await connect_to_quota_services(loop, config, ingress)
     if config.known is not None:
         ingress.listed(config.known, saved=True)
     discovery = Discovery(
@@ -199,23 +230,7 @@
     )
     server = Server(loop, ingress, share, config.memory // BODY_MEMORY_DIVISOR)
     follow(server)
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-
-    def reload() -> None:
-        """Read the file again and move to its discovery and counter addresses; all else needs a restart."""
-        try:
-            new = read_config(os.environ)
-        except BadConfiguration as error:
-            log.error("the configuration stays as it was: %s", error)
-            return
-        discovery.move(new.discovery)
-        if ingress.counter is not None and new.counter is not None:
-            ingress.counter.move(new.counter)
-        log.info("%s has read its configuration anew", config.name)
-
-    loop.add_signal_handler(signal.SIGHUP, reload)
+    stop = handle_signals(loop, config, ingress, discovery)
     await server.listen(*config.listen)
     console = Console(loop, calls(server))
     if config.console is not None:
@@ -244,7 +259,7 @@
     )
     try:
         uvloop.run(serve(read_config(os.environ)))
-    except (BadConfiguration, OSError) as error:
+    except (ConfigurationError, OSError) as error:
         print(f"ingress: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
--- a/ingress/calling.py
+++ b/ingress/calling.py
@@ -44,7 +44,7 @@
         """Whether calls are scarce: a request that is sure to be refused makes none."""
         return self.call_share < 1 or self.calls_per_request > SAMPLING_THRESHOLD
 
-    def part(self) -> float:
+    def counted_ratio(self) -> float:
         """The fraction of the requests' charges that a count is taken to contain where only some call."""
         return max(MIN_CALL_SHARE_DOWN, self.call_share)
 
--- a/ingress/control.py
+++ b/ingress/control.py
@@ -12,7 +12,7 @@
 import random
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from ingress import interface as io
 from ingress.calling import CounterCallPolicy
@@ -24,11 +24,20 @@
 
 # Weight of a new verdict in a customer's admission probability (a fifth of it in its plan's).
 VERDICT_WEIGHT = 0.3
-# tokens of timers
-SWEEP_TIMER = 0
+PLAN_VERDICT_WEIGHT = VERDICT_WEIGHT / 5
+SWEEP_TIMER = 0  # tokens of timers; a third is `opencap.RELEASE_TIMER`
 GOSSIP_TIMER = 1
 
 
+class CounterCall(NamedTuple):
+    """A call to the counter without a reply: units added in a window, and the request that waits for it."""
+
+    customer: Customer
+    window: int
+    units: float
+    request: ActiveRequest | None
+
+
 class Gateway(Routing):
     """One ingress: `handle` takes an event and returns the actions to carry out."""
 
@@ -39,7 +48,7 @@
         self.customers = Customers(settings)
         self.call_policy = CounterCallPolicy(settings, self.rng)
         self.gossip = Gossip(settings, self.customers, self.call_policy, now)
-        self.calls: dict[int, deque[tuple[Customer, int, float, ActiveRequest | None]]] = {}
+        self.calls: dict[int, deque[CounterCall]] = {}  # by the count's name
         self.cap = ConcurrencyCap(self, self.call_policy)
         self.chance = {(p, again): 1.0 for p in self.plans for again in (False, True)}  # admitted recently
         self.on: dict[type, Callable[[float, Any], Any]] = {
@@ -91,26 +100,31 @@
         customer.expire_excess(now, self.gossip.total_is_covered)
         request = self.active_requests[received.id] = ActiveRequest(received, cls, customer, now)
         if plan.rate <= 0:
-            return self.cap.enter(now, request)
+            self.cap.enter(now, request)
+            return
         if not self.s.counter:
-            return self.admit_locally(now, request)
+            self.admit_locally(now, request)
+            return
         known = customer.available_units(now) - customer.units_in_flight
         self.call_policy.record_request()  # peers can only have taken more than is known
         if self.call_policy.sampling_active() and (
             known < received.units or customer.window_id(now) in self.gossip.spent
         ):
-            return self.refuse(now, request, (received.units - known) / plan.rate)
+            self.refuse(now, request, (received.units - known) / plan.rate)
+            return
         # A charge for a request that is not sent would use the quota up.
         if not self.limit.allows(now) and self.late(now, request):
-            return self.refuse(now, request, 0.0)
+            self.refuse(now, request, 0.0)
+            return
         if received.expires_in <= 2 * self.s.counter_timeout or not self.should_call_counter(now, request):
-            return self.admit_locally(now, request)
+            self.admit_locally(now, request)
+            return
         if (
             request.share_below_one
             and customer.window < customer.window_number(now) - 1
             and not self.gossip.all_peers_reachable(now, customer)
         ):  # peers cannot report
-            request.charge = received.units / self.call_policy.part()
+            request.charge = received.units / self.call_policy.counted_ratio()
         self.add(now, customer, request.charge + customer.pending, request)
         customer.pending = 0.0
 
@@ -127,7 +141,7 @@
         """Call the counter: add units to the count of the customer's current window."""
         window = customer.window_number(now)
         name = customer.name(now)
-        self.calls.setdefault(name, deque()).append((customer, window, units, request))
+        self.calls.setdefault(name, deque()).append(CounterCall(customer, window, units, request))
         customer.units_in_flight += request.charge if request else 0.0
         self.call_policy.record_call()
         self.acts.append(io.CounterAdd(name, units, min(60.0, 3 * customer.length)))
@@ -135,53 +149,59 @@
     def counted(self, now: float, event: io.CounterReply) -> None:
         """A total came, or none: admit, refuse and add the charge back, or decide by the local share."""
         if event.name in self.cap.calls:
-            return self.cap.counted(now, event)
+            self.cap.counted(now, event)
+            return
         queue = self.calls.get(event.name)
         if not queue:
             return
-        customer, window, units, request = queue.popleft()
+        call = queue.popleft()
         if not queue:
             del self.calls[event.name]
-        customer.units_in_flight -= request.charge if request else 0.0
-        request = request if request is not None and request.req.id in self.active_requests else None
+        customer = call.customer
+        charge = call.request.charge if call.request else 0.0
+        customer.units_in_flight -= charge
+        is_active = call.request is not None and call.request.req.id in self.active_requests
+        request = call.request if is_active else None
+        undecided = request.charge if request else 0.0
         if not self.call_policy.answers(event, self.acts):
             # Added again with the next call: if it was counted after all, the refill makes up for it.
-            customer.pending += units - (request.charge if request else 0.0)
-            return self.admit_locally(now, request) if request else None
-        # Added, but the total is unknown: it is at least the known total and this.
-        total = (
-            event.total
-            if event.outcome is io.Outcome.OK
-            else units + (customer.total if customer.window == window else 0.0)
-        )
-        customer.apply_total(
-            now, window, units, total, request.charge if request else 0.0, self.gossip.total_is_covered
-        )
-        if request is None:
+            customer.pending += call.units - undecided
+            if request is not None:
+                self.admit_locally(now, request)
             return
-        good = customer.available_units(now) - request.req.units >= 0
-        customer.chance = self.admit_probability(now, request) + VERDICT_WEIGHT * (
-            good - self.admit_probability(now, request)
-        )
-        common = self.chance[request.req.plan, request.req.is_repeat]
-        self.chance[request.req.plan, request.req.is_repeat] = common + VERDICT_WEIGHT / 5 * (good - common)
-        if good:
+        total = event.total
+        if event.outcome is not io.Outcome.OK:
+            # Added, but the total is unknown: it is at least the known one and this.
+            total = call.units + (customer.total if customer.window == call.window else 0.0)
+        customer.apply_total(now, call.window, call.units, total, undecided, self.gossip.total_is_covered)
+        if request is not None:
+            self._decide_by_total(now, request)
+
+    def _decide_by_total(self, now: float, request: ActiveRequest) -> None:
+        """Admit a request by the customer's corrected level, or refuse it and add the charge back."""
+        customer = request.customer
+        fits = customer.available_units(now) - request.req.units >= 0
+        self._learn_verdict(now, request, fits)
+        if fits:
             self.admit(now, customer, request.charge, request)
-            return self.cap.enter(now, request)
+            self.cap.enter(now, request)
+            return
         if customer.known or self.call_policy.call_share >= 1:
-            self.add(now, customer, -request.charge, None)  # refused: the charge is added back
-        if (
-            self.s.peers
-            and not customer.known
-            and customer.level < 1
-            and customer.window_id(now) not in self.gossip.spent
-        ):
-            self.acts.append(
-                io.SendPeerMessage(None, customer.window_id(now))
-            )  # nothing more fits: peers need not call
-            self.gossip.handle_peer_message(now, io.PeerMessage(self.s.me, customer.window_id(now)))
+            self.add(now, customer, -request.charge, None)
+        window_id = customer.window_id(now)
+        is_spent = not customer.known and customer.level < 1 and window_id not in self.gossip.spent
+        if self.s.peers and is_spent:  # nothing more fits: peers need not call
+            self.acts.append(io.SendPeerMessage(None, window_id))
+            self.gossip.handle_peer_message(now, io.PeerMessage(self.s.me, window_id))
         self.refuse(now, request, (request.req.units - customer.available_units(now)) / customer.plan.rate)
 
+    def _learn_verdict(self, now: float, request: ActiveRequest, fits: bool) -> None:
+        """Adjust the admission probabilities of a customer and its plan to a verdict."""
+        probability = self.admit_probability(now, request)
+        request.customer.chance = probability + VERDICT_WEIGHT * (fits - probability)
+        key = request.req.plan, request.req.is_repeat
+        self.chance[key] += PLAN_VERDICT_WEIGHT * (fits - self.chance[key])
+
     def gone(self, now: float, event: io.ClientGone) -> None:
         """The client has left: no answer is owed; an attempt in flight stays open until it ends."""
         request = self.active_requests.pop(event.request, None)
@@ -201,7 +221,9 @@
         """The probability that a total would admit: the customer's recent one, decaying into its plan's."""
         customer = request.customer
         common = self.chance[request.req.plan, request.req.is_repeat]
-        return common + (customer.chance - common) * math.exp((customer.at - now) / (7 * customer.length))
+        return common + (customer.chance - common) * math.exp(
+            (customer.level_at - now) / (7 * customer.length)
+        )
 
     def admit_locally(self, now: float, request: ActiveRequest) -> None:
         """Admit by this ingress's share of the bucket; the usage is reported with the next call."""
@@ -209,16 +231,22 @@
         units = request.req.units
         if self.gossip.all_peers_reachable(now, customer):
             if customer.available_units(now) - customer.units_in_flight < units:
-                return self.refuse(now, request, (units - customer.available_units(now)) / customer.plan.rate)
+                self.refuse(now, request, (units - customer.available_units(now)) / customer.plan.rate)
+                return
             customer.pending += units
         elif self.decided_by_sampling(request):
             good = self.rng.random() < self.admit_probability(now, request)
             # Admitted uncounted: who returns here soon uses more than most.
             customer.chance *= 1 - VERDICT_WEIGHT * good
-            return self.cap.enter(now, request) if good else self.refuse(now, request, 0.0)
+            if good:
+                self.cap.enter(now, request)
+            else:
+                self.refuse(now, request, 0.0)
+            return
         elif customer.plan.rate > 0:
             if not self.fits_local_share(now, request):
-                return self.refuse(now, request, 0.0)
+                self.refuse(now, request, 0.0)
+                return
             customer.pending += units
         self.admit(now, customer, units, request)
         self.cap.enter(now, request)
@@ -237,11 +265,11 @@
                 0.0 if self.call_policy.counter_down() else 1.0
             )
             share = min(share, max(0.0, times) / customer.width / self.processes)
-        unused = now - customer.at - (customer.plan.burst - customer.level) / customer.plan.rate
+        unused = now - customer.level_at - (customer.plan.burst - customer.level) / customer.plan.rate
         if unused > 0:  # refilled since the bucket was full: no wave of refusals when an outage ends
             customer.pending -= min(share * customer.plan.rate * unused, max(0.0, customer.pending))
             customer.level = customer.plan.burst
-            customer.at = now
+            customer.level_at = now
         own = max(0.0, customer.pending)
         return (
             own + customer.units_in_flight + request.req.units
--- a/ingress/customer.py
+++ b/ingress/customer.py
@@ -23,12 +23,11 @@
 class Customer:
     """One ingress's estimate of a customer's token bucket, corrected by totals of the shared counter.
 
-    `level` is in units, as of the time `at`; `length` is a window of the count in seconds (burst / rate).
+    `level` is in units, as of the time `level_at`; `length` is a window of the count in seconds.
     """
 
     __slots__ = (
         "arrivals_at",
-        "at",
         "born",
         "cap_full_at",
         "chance",
@@ -41,8 +40,9 @@
         "known",
         "length",
         "level",
+        "level_at",
         "level_from_peer",
-        "out",
+        "open_requests",
         "own_total",
         "own_total_sent",
         "own_units_in_total",
@@ -88,7 +88,7 @@
         # spent, so that a restart in a counter outage does not grant the ceiling twice.
         spent = plan.rate / plan.limit_rate if plan.limit_rate > 0 else 0.0
         self.level = plan.burst * max(0.0, 1 - spent)
-        self.at = now
+        self.level_at = now
         self.first = 0
         self.born = now
         self.seen = now
@@ -100,7 +100,8 @@
         # level carried over between windows; recent admission rate
         self.known = True
         self.chance = 1.0
-        self.out = 0  # requests open here or about to be; next, how many of them are counted, in which window
+        self.open_requests = 0  # open here or about to be
+        # How many of them are counted, and in which window.
         self.counted = 0
         self.counted_in = -1
         self.cap_full_at = -math.inf  # when a total last showed the cap to be full
@@ -129,13 +130,13 @@
         """Units in the bucket, less all that is known to have been admitted."""
         if not self.known:  # a fixed window: no refill within it, the whole burst in the next
             return self.level if self.window_number(now) == self.window else self.plan.burst
-        return min(self.plan.burst, self.level + self.plan.rate * (now - self.at))
+        return min(self.plan.burst, self.level + self.plan.rate * (now - self.level_at))
 
     def use(self, now: float, units: float) -> None:
         """Take admitted units off the level."""
         if self.known:
             self.level = self.available_units(now) - units
-            self.at = now
+            self.level_at = now
         else:
             self.level -= units
 
@@ -152,7 +153,7 @@
         """Restore the excess of a total that no peer has reported: it was a charge that was added back."""
         if self.excess > 0 and now - self.excess_at > EXCESS_S and total_is_covered(now, self):
             self.level = self.available_units(now) + self.excess
-            self.at = now
+            self.level_at = now
             self.excess = 0.0
 
     def apply_total(
@@ -168,43 +169,43 @@
 
         `units` were added by the call, of which `charge` belongs to a request that is still undecided.
         """
-        if self.width > self.plan.burst and (
-            self.window < window - 1 or (self.window == window and not self.known)
-        ):
+        has_gap = self.window < window - 1
+        if self.width > self.plan.burst and (has_gap or (self.window == window and not self.known)):
             # Most ingresses have no history: each would assume a nearly full bucket in every window.
             self.known = False
             self.window = window
             self.total = total
             self.level = self.plan.burst - total + charge
-            self.at = now
+            self.level_at = now
             return
         self.known = True
         if self.window != window:
-            if self.window < window - 1 and not total_is_covered(now, self):
-                # No history here: a fraction of the burst is taken as carried over.
-                since = now + self.phase - window * self.length
-                self.level = ASSUMED_CARRYOVER * self.plan.burst + self.plan.rate * since
-                self.at = now
-            elif self.excess > 0 and total_is_covered(now, self):
-                self.level = self.available_units(now) + self.excess
-                self.at = now
-            self.window = window
-            self.own_units_in_total = 0.0
-            self.excess = 0.0
+            self._open_window(now, window, total_is_covered(now, self))
         self.own_units_in_total = self.own_units_in_total + units
         self.total = total
-        self.part += LOCAL_SHARE_STEP * (
-            min(1.0, max(0.0, self.own_units_in_total) / max(total, 1e-9)) - self.part
-        )
-        excess = max(
-            0.0,
-            total - self.own_units_in_total - (self.peer_units if self.peer_units_window == window else 0.0),
-        )
+        own_ratio = min(1.0, max(0.0, self.own_units_in_total) / max(total, 1e-9))
+        self.part += LOCAL_SHARE_STEP * (own_ratio - self.part)
+        peer_units = self.peer_units if self.peer_units_window == window else 0.0
+        excess = max(0.0, total - self.own_units_in_total - peer_units)
         self.level = self.available_units(now) - (excess - self.excess)
-        self.at = now
+        self.level_at = now
         self.excess = excess
         self.excess_at = now
 
+    def _open_window(self, now: float, window: int, is_covered: bool) -> None:
+        """A total of another window has come; `is_covered`: peers report all usage in it."""
+        if self.window < window - 1 and not is_covered:
+            # No history here: a fraction of the burst is taken as carried over.
+            since = now + self.phase - window * self.length
+            self.level = ASSUMED_CARRYOVER * self.plan.burst + self.plan.rate * since
+            self.level_at = now
+        elif self.excess > 0 and is_covered:
+            self.level = self.available_units(now) + self.excess
+            self.level_at = now
+        self.window = window
+        self.own_units_in_total = 0.0
+        self.excess = 0.0
+
 
 class Customers:
     """All known customers; those idle for long are forgotten, as many come once and never again."""
@@ -223,7 +224,7 @@
             self.known.move_to_end(key)
         customer.seen = now
         while (first := next(iter(self.known.values()))).seen < now - self.retention_s:
-            if first.units_in_flight > 0 or first.out > 0:
+            if first.units_in_flight > 0 or first.open_requests > 0:
                 first.seen = now
                 self.known.move_to_end(first.key)
             else:
--- a/ingress/gossip.py
+++ b/ingress/gossip.py
@@ -98,7 +98,7 @@
         customer.peer_totals[peer] = total
         customer.add_peer_usage(now, more / 4)
         if not customer.level_from_peer and now - self.began < self.customers.retention_s:
-            customer.level_from_peer, customer.level, customer.at = (
+            customer.level_from_peer, customer.level, customer.level_at = (
                 True,
                 min(customer.available_units(now), level * customer.plan.burst),
                 now,
--- a/ingress/interface.py
+++ b/ingress/interface.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, NamedTuple, Union
+from typing import Any, NamedTuple
 
 
 class Effect(Enum):
@@ -330,21 +330,21 @@
     processes: int
 
 
-Event = Union[
-    ListUpdate,
-    Request,
-    AttemptWritten,
-    AttemptStarted,
-    AttemptEnded,
-    ClientGone,
-    TimerFired,
-    HealthCheckEnded,
-    PeerMessage,
-    CounterReply,
-    Cordon,
-    Cordons,
-    SiblingProcesses,
-]
+Event = (
+    ListUpdate
+    | Request
+    | AttemptWritten
+    | AttemptStarted
+    | AttemptEnded
+    | ClientGone
+    | TimerFired
+    | HealthCheckEnded
+    | PeerMessage
+    | CounterReply
+    | Cordon
+    | Cordons
+    | SiblingProcesses
+)
 
 
 class Attempt(NamedTuple):
@@ -432,19 +432,19 @@
     backend: str
 
 
-Action = Union[
-    Attempt,
-    CancelAttempt,
-    Refuse,
-    Fail,
-    SetTimer,
-    HealthCheck,
-    CloseIdle,
-    SendPeerMessage,
-    CounterAdd,
-    Subscribe,
-    FetchList,
-    Log,
-    Cordons,
-    UnknownBackend,
-]
+Action = (
+    Attempt
+    | CancelAttempt
+    | Refuse
+    | Fail
+    | SetTimer
+    | HealthCheck
+    | CloseIdle
+    | SendPeerMessage
+    | CounterAdd
+    | Subscribe
+    | FetchList
+    | Log
+    | Cordons
+    | UnknownBackend
+)
--- a/ingress/net/client.py
+++ b/ingress/net/client.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 import re
+from http import HTTPStatus
 
 import httptools
 
 from ingress.net.client_connection_base import FLOW_STALL_S
 from ingress.net.connection_interfaces import ConnectionServer, ImmediateResponse
+from ingress.net.errors import MalformedRequestError
 from ingress.net.http_messages import BLANKS, MAX_BUFFERED_BODY, ClientRequest
-from ingress.net.request_parser import BadRequest
 from ingress.net.response_queue import ResponseQueue
 from ingress.net.upload import Upload
 
@@ -30,6 +31,8 @@
     b"content-length",
 }
 
+HEAD_TOO_LONG = "the head is too long"
+
 
 class ClientConnection(ResponseQueue):
     """One client's connection: reads its requests; the base classes answer them in order."""
@@ -81,8 +84,8 @@
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             cause = error.__context__
-            if isinstance(cause, BadRequest):
-                self.fault(int(cause.args[0]), str(cause.args[1]))
+            if isinstance(cause, MalformedRequestError):
+                self.fault(cause.status, str(cause))
             else:
                 self.fault(400, "malformed HTTP")
             return
@@ -90,7 +93,7 @@
             self.size += 0 if self.fresh else len(data)
             self.fresh = False
             if self.size > self.server.limits.head:
-                self.fault(431, "the head is too long")
+                self.fault(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, HEAD_TOO_LONG)
 
     def begin_request(self) -> None:
         """Start the time limit for receiving a request."""
@@ -129,10 +132,10 @@
         self.begin_request()
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request target. Raises BadRequest if it is too long."""
+        """A part of the request target. Raises MalformedRequestError if it is too long."""
         self.url += url
         if len(self.url) > self.server.limits.head:
-            raise BadRequest(431, "the head is too long")
+            raise MalformedRequestError(HEAD_TOO_LONG, HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header field."""
@@ -140,7 +143,7 @@
             self.headers.append((name, value.strip(BLANKS)))  # the parser leaves trailing blanks
 
     def on_headers_complete(self) -> None:
-        """Reject what can be rejected by the head (with BadRequest) before any body is received.
+        """Reject what can be rejected by the head (with MalformedRequestError) before any body is received.
 
         The parser itself rejects both framings at once, two lengths, and lengths that aren't plain numbers.
         """
@@ -150,13 +153,16 @@
             if key == b"content-length":
                 self.length = int(value)
                 if self.length > self.server.limits.body:
-                    raise BadRequest(413, f"a body holds at most {self.server.limits.body} bytes")
+                    raise MalformedRequestError(
+                        f"a body holds at most {self.server.limits.body} bytes",
+                        HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
+                    )
             if key == b"transfer-encoding" and value.lower() != b"chunked":
-                raise BadRequest(400, "transfer-encoding: expected chunked")
+                raise MalformedRequestError("transfer-encoding: expected chunked")
         if self.parser.should_upgrade():
-            raise BadRequest(400, "no other protocol is spoken here")
+            raise MalformedRequestError("no other protocol is spoken here")
         if len(self.url) + sum(len(n) + len(v) + 4 for n, v in self.headers) > self.server.limits.head:
-            raise BadRequest(431, "the head is too long")
+            raise MalformedRequestError(HEAD_TOO_LONG, HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         if self.transport is not None and self.expects():
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         if self.length is not None and not self.may_buffer(self.length):
@@ -164,14 +170,14 @@
 
     def expects(self) -> bool:
         """Whether to send 100 Continue: if it is expected and no earlier request is unanswered."""
-        told = any(n.lower() == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
-        return told and self.call is None and not self.waiting
+        is_expected = any(n.lower() == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
+        return is_expected and self.call is None and not self.waiting
 
     def may_stream(self) -> None:
         """Stream a body that is too large to be buffered: the request is handled before it is complete."""
         item = self.read()
         if isinstance(item, ImmediateResponse):
-            raise BadRequest(item.status, item.why)
+            raise MalformedRequestError(item.why, item.status)
         item.upload = Upload(self.length, self.hold)
         item.body = b""
         self.release(item)
@@ -193,12 +199,14 @@
         return True
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body. Raises BadRequest if it is too large."""
+        """A part of the body. Raises MalformedRequestError if it is too large."""
         self.got += len(data)
         ahead = min(self.loop.time() + LAG_S, self.due + len(data) / SLOW_RATE)
         self.due = max(self.due, ahead)  # data received fast doesn't allow a long silence
         if self.got > self.server.limits.body:
-            raise BadRequest(413, f"a body holds at most {self.server.limits.body} bytes")
+            raise MalformedRequestError(
+                f"a body holds at most {self.server.limits.body} bytes", HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+            )
         if self.upload_call is None and not self.may_buffer(self.got):
             self.may_stream()
         if self.upload_call is not None and self.upload_call.upload is not None:
--- a/ingress/net/client_connection_base.py
+++ b/ingress/net/client_connection_base.py
@@ -69,8 +69,10 @@
         )
 
     def close(self) -> None:
-        """Close. A client that is still sending gets `LINGER_S` to read the response, which a reset would
-        destroy."""
+        """Close. A client that is still sending gets `LINGER_S` to read the response.
+
+        A reset would destroy it.
+        """
         if self.closing or self.transport is None:
             return
         self.closing = True
--- a/ingress/net/connection_interfaces.py
+++ b/ingress/net/connection_interfaces.py
@@ -77,7 +77,7 @@
     def request_handler(self) -> RequestHandler:
         """What handles the requests."""
 
-    def connection_opened(self, connection: Any) -> None:
+    def connection_opened(self, connection: Any) -> None:  # noqa: ANN401  its class imports this module
         """Register a new connection."""
 
     def room(self, more: int) -> bool:
--- a/ingress/net/console.py
+++ b/ingress/net/console.py
@@ -7,18 +7,16 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple, cast
 
+from ingress.net.errors import CommandRejectedError
+
 log = logging.getLogger(__name__)
 
 MAX_LINE = 256  # bytes
-MOST = 16  # connections at once; one more replaces the oldest one
+MAX_CONNECTIONS = 16  # connections at once; one more replaces the oldest one
 IDLE_S = 2.5  # until a complete line has to arrive
 LINGER_S = 0.5  # for the other side to read the answer and close
 
 
-class CommandRefused(Exception):
-    """Raised by a command to be answered with `error` and this message."""
-
-
 class ConsoleCommand(NamedTuple):
     """A command: `act` takes this number of string arguments and returns the answer's lines."""
 
@@ -53,8 +51,10 @@
             self.answer(self.console.execute(bytes(line)))
 
     def eof_received(self) -> bool:
-        """The other side has ended its sending: a line without its end isn't executed, as it may be truncated
-        and then name another command or backend."""
+        """The other side has ended its sending: a line without its end isn't executed.
+
+        It may be truncated and then name another command or backend.
+        """
         self.answer(["error the line has no end"])
         return True
 
@@ -89,9 +89,9 @@
         self.listener = await self.loop.create_server(lambda: ConsoleConnection(self), host, port)
 
     def connection_opened(self, caller: ConsoleConnection) -> None:
-        """Register a connection; beyond `MOST`, the oldest one is aborted."""
+        """Register a connection; beyond `MAX_CONNECTIONS`, the oldest one is aborted."""
         self.callers[caller] = None
-        if len(self.callers) > MOST:
+        if len(self.callers) > MAX_CONNECTIONS:
             oldest = next(iter(self.callers))
             del self.callers[oldest]
             if oldest.transport is not None:
@@ -113,7 +113,7 @@
             ]
         try:
             return call.act(*arguments_given[1:])
-        except CommandRefused as error:
+        except CommandRejectedError as error:
             return [f"error {error}"]
         except Exception:  # a command must not end the program
             log.exception("console: %r", line)
--- a/ingress/net/counter.py
+++ b/ingress/net/counter.py
@@ -7,6 +7,7 @@
 import re
 from collections import deque
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import cast
 
 from ingress import interface as io
@@ -87,15 +88,15 @@
         if not self.awaiting_reply:
             self.end("an answer to no call")
             return
-        if answer.status == 200 and TOTAL.fullmatch(answer.body) is None:
+        if answer.status == HTTPStatus.OK and TOTAL.fullmatch(answer.body) is None:
             self.end("spoilt: not a total", corrupt=True)
             return
         add = self.awaiting_reply.popleft()
         self.served = True
         self.line.counter.newest = max(self.line.counter.newest, add.began)
-        if answer.status == 200:
+        if answer.status == HTTPStatus.OK:
             self.line.counter.tell(add, io.Outcome.OK, float(answer.body))
-        elif answer.status == 503:
+        elif answer.status == HTTPStatus.SERVICE_UNAVAILABLE:
             self.line.counter.tell(add, io.Outcome.FULL)
         else:
             nothing_added = answer.status in (400, 404)
@@ -117,8 +118,10 @@
         self.end("closed")
 
     def end(self, why: str, corrupt: bool = False) -> None:
-        """End the connection: no more responses are possible here. Calls that were written may have been
-        added; after a `corrupt` response, the first of them has been answered.
+        """End the connection: no more responses are possible here.
+
+        Calls that were written may have been added; after a `corrupt` response, the first of them has been
+        answered.
 
         The link is informed first: a reply may cause the next call, which must not be written here.
         """
@@ -210,8 +213,11 @@
             self.timer = self.loop.call_at(self.unresolved[0].due, self.expire)
 
     def expire(self) -> None:
-        """Reply to expired calls: one that was never written has certainly not been added (CONNECT_FAILED),
-        others may have been (TIMEOUT)."""
+        """Reply to expired calls.
+
+        One that was never written has certainly not been added (CONNECT_FAILED), others may have been
+        (TIMEOUT).
+        """
         self.timer = None
         now = self.loop.time()
         link = self.link
--- a/ingress/net/discovery.py
+++ b/ingress/net/discovery.py
@@ -8,6 +8,7 @@
 import math
 import random
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any, NamedTuple, cast
 
 import httptools
@@ -28,39 +29,53 @@
 
 
 class Listing(NamedTuple):
-    """The list of backends of a version (`is_full`), or changes to it; the endpoint of a deleted backend is
-    None."""
+    """The list of backends of a version (`is_full`), or changes to it.
+
+    The endpoint of a deleted backend is None.
+    """
 
     version: int
     is_full: bool
     entries: tuple[tuple[io.BackendEntry, Endpoint | None], ...]
 
 
-def read_listing(message: Any) -> Listing:
-    """Read a decoded message of the discovery service. Raises ValueError for anything else."""
+def read_listing(message: dict[str, Any]) -> Listing:
+    """Read a decoded message of the discovery service.
+
+    Raises:
+        ValueError: It isn't a list of backends.
+    """
     try:
         is_full = message["snapshot"]
         if not isinstance(is_full, bool):
             raise ValueError(f"snapshot: {is_full!r}")
-        return Listing(int(message["index"]), is_full, tuple(_entry(e) for e in message["endpoints"]))
+        return Listing(
+            int(message["index"]), is_full, tuple(_read_entry(fields) for fields in message["endpoints"])
+        )
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"not a list of backends: {error!r}") from error
 
 
-def _entry(e: Any) -> tuple[io.BackendEntry, Endpoint | None]:
-    name = e["name"]
-    status = e["status"]
-    born = float(e.get("since_ms") or 0) / 1000
-    weight = float(e.get("weight", 1.0))
+def _read_entry(fields: dict[str, Any]) -> tuple[io.BackendEntry, Endpoint | None]:
+    name = fields["name"]
+    status = fields["status"]
+    born = float(fields.get("since_ms") or 0) / 1000
+    weight = float(fields.get("weight", 1.0))
     if not isinstance(name, str) or not name or not math.isfinite(born) or not math.isfinite(weight):
-        raise ValueError(f"not a backend: {e!r}")
+        raise ValueError(f"not a backend: {fields!r}")
     if status not in PHASES:
         raise ValueError(f"status: {status!r}")
     phase = PHASES[status]
     # A deleted one needs no address any more.
-    endpoint = None if phase is io.Phase.DELETED else Endpoint(read_address(e["address"]), born)
+    endpoint = None if phase is io.Phase.DELETED else Endpoint(read_address(fields["address"]), born)
     return io.BackendEntry(
-        name, phase, weight, str(e.get("type", "")), int(e.get("group") or 0), born, str(e.get("zone", ""))
+        name,
+        phase,
+        weight,
+        str(fields.get("type", "")),
+        int(fields.get("group") or 0),
+        born,
+        str(fields.get("zone", "")),
     ), endpoint
 
 
@@ -108,7 +123,7 @@
 
     def on_headers_complete(self) -> None:
         """The head of the response: any status but 200 ends the watch."""
-        self.accepted = self.parser.get_status_code() == 200
+        self.accepted = self.parser.get_status_code() == HTTPStatus.OK
         if not self.accepted:
             self.end(f"status {self.parser.get_status_code()}")
 
@@ -201,8 +216,12 @@
             await asyncio.sleep(self.backoff.next())
 
     async def follow(self, watch: DiscoveryWatch) -> str:
-        """Run a watch until it ends; returns the reason. Raises OSError or TimeoutError if it can't
-        connect."""
+        """Run a watch until it ends; returns the reason.
+
+        Raises:
+            OSError: The service can't be reached.
+            TimeoutError: It doesn't accept the connection in time.
+        """
         async with asyncio.timeout(CONNECT_S):
             transport, _ = await self.loop.create_connection(lambda: watch, *self.address)
         try:
--- /dev/null
+++ b/ingress/net/errors.py
@@ -0,0 +1,21 @@
+"""Errors of the protocols that the ingress speaks."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+
+
+class MalformedRequestError(ValueError):
+    """A client's request violates the protocol; `status` is the one to answer with."""
+
+    def __init__(self, reason: str, status: int = HTTPStatus.BAD_REQUEST) -> None:
+        super().__init__(reason)
+        self.status = status
+
+
+class MalformedResponseError(Exception):
+    """What was received isn't a valid HTTP response, or is too large."""
+
+
+class CommandRejectedError(Exception):
+    """Raised by a console command to be answered with `error` and this message."""
--- a/ingress/net/exchange.py
+++ b/ingress/net/exchange.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import NamedTuple, Protocol
 
 from ingress import interface as io
@@ -49,7 +50,7 @@
 
 def outcome_of(answer: Response) -> io.Outcome:
     """The outcome of an attempt by its response; only a complete 200 is a success."""
-    if answer.status == 200:
+    if answer.status == HTTPStatus.OK:
         return io.Outcome.OK
     if answer.status in REFUSED_STATUS and answer.headers.get(b"x-rejected") == b"1":
         return io.Outcome.FULL
--- a/ingress/net/http_messages.py
+++ b/ingress/net/http_messages.py
@@ -7,11 +7,13 @@
 import sys
 import termios
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import NamedTuple
 
 import httptools
 
 from ingress import interface as io
+from ingress.net.errors import MalformedResponseError
 from ingress.net.upload import Upload
 
 MAX_BUFFERED_BODY = 64 * 1024  # bytes of a body that is buffered; a larger one is streamed
@@ -22,13 +24,19 @@
 SINGLE = (*FRAMING, b"attempt-id", b"backend-seal")  # response headers that may occur only once
 EMPTY = (204, 304)  # statuses of responses without a body, whatever their headers say
 
+MAX_PORT = 65535
+
 Address = tuple[str, int]
 
 
 def read_address(text: str) -> Address:
-    """Parse `host:port`. Raises ValueError for anything else."""
+    """Parse `host:port`.
+
+    Raises:
+        ValueError: The text has another form.
+    """
     host, sep, port = text.rpartition(":")
-    if not sep or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
+    if not sep or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"expected host:port, got {text!r}")
     return host.strip("[]"), int(port)
 
@@ -91,10 +99,6 @@
     read_until_close: bool = False
 
 
-class BadResponse(Exception):
-    """What was received isn't a valid HTTP response, or is too large."""
-
-
 class ResponseReader:
     """Parses responses: complete ones, and with `flows`, large ones as streams (`head`, `take`, `done`).
 
@@ -159,9 +163,9 @@
         return part
 
     def on_message_begin(self) -> None:
-        """Parser callback: a response begins. Raises BadResponse after a streamed one."""
+        """Parser callback: a response begins. Raises MalformedResponseError after a streamed one."""
         if self.done:  # its last part hasn't been taken yet
-            raise BadResponse("more behind a large answer")
+            raise MalformedResponseError("more behind a large answer")
         self.headers = {}
         self.body = bytearray()
         self.partial = True
@@ -173,21 +177,25 @@
         self.size = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback: a header field. Raises BadResponse for a forbidden repetition."""
+        """Parser callback: a header field. Raises MalformedResponseError for a forbidden repetition."""
         key = name.lower()
         if not self.in_head:  # a trailer
             return
         if key in SINGLE and key in self.headers:
-            raise BadResponse(f"{key.decode()}: more than one")
+            raise MalformedResponseError(f"{key.decode()}: more than one")
         self.headers[key] = value.strip(BLANKS)
 
     def on_headers_complete(self) -> None:
-        """Parser callback: the head is complete. Raises BadResponse unless that makes the response's length
-        clear, as otherwise a part of it could be taken for another response."""
+        """Parser callback: the head is complete.
+
+        Raises:
+            MalformedResponseError: The head leaves the response's length open, so that a part of it could be
+                taken for another response.
+        """
         self.fed = 0
         self.in_head = False
         status = self.parser.get_status_code()
-        if status < 200:
+        if status < HTTPStatus.OK:
             return
         length, coding = (self.headers.get(key) for key in FRAMING)
         if self.ends.bodiless:
@@ -200,23 +208,26 @@
         closes = self.ends.read_until_close or self.headers.get(b"connection", b"").lower() == b"close"
         self.until_end = self.flows and closes and length is None and coding is None
         if (length is None) == (coding is None) and not self.until_end:
-            raise BadResponse("expected one of content-length and transfer-encoding")
+            raise MalformedResponseError("expected one of content-length and transfer-encoding")
         if coding is not None and coding.lower() != b"chunked":
-            raise BadResponse("transfer-encoding: expected chunked")
+            raise MalformedResponseError("transfer-encoding: expected chunked")
         if length is not None and int(length) > MAX_BUFFERED_BODY:
             self.flow(int(length))
 
     def flow(self, length: int | None) -> None:
-        """Begin to stream a response that is too large to be buffered. Raises BadResponse if that isn't
-        allowed, or it exceeds `MAX_BODY`."""
+        """Begin to stream a response that is too large to be buffered.
+
+        Raises:
+            MalformedResponseError: That isn't allowed, or the response exceeds `MAX_BODY`.
+        """
         status = self.parser.get_status_code()
-        if not self.flows or status != 200 or (length or 0) > MAX_BODY:
-            raise BadResponse("the body is too large")
+        if not self.flows or status != HTTPStatus.OK or (length or 0) > MAX_BODY:
+            raise MalformedResponseError("the body is too large")
         keep = self.parser.should_keep_alive() and not self.until_end
         self.head = Response(status, self.headers, b"", keep, length)
 
     def on_body(self, data: bytes) -> None:
-        """Parser callback: a part of the body. Raises BadResponse if it is too large."""
+        """Parser callback: a part of the body. Raises MalformedResponseError if it is too large."""
         self.fed = 0
         if self.over:  # what follows it isn't a response
             self.partial = True
@@ -225,7 +236,7 @@
         if self.head is None and self.size > MAX_BUFFERED_BODY:
             self.flow(None)
         if self.size > MAX_BODY:
-            raise BadResponse("the body is too large")
+            raise MalformedResponseError("the body is too large")
         self.body += data
 
     def on_message_complete(self) -> None:
@@ -234,7 +245,7 @@
             return
         self.partial = False
         self.fed = 0
-        if self.parser.get_status_code() < 200:  # an interim response
+        if self.parser.get_status_code() < HTTPStatus.OK:  # an interim response
             if self.answers:
                 self.broken = "an interim answer behind the last one"
             return
--- a/ingress/net/ingress.py
+++ b/ingress/net/ingress.py
@@ -79,8 +79,7 @@
             self.busy = False
 
     def decide(self, event: io.Event) -> None:
-        """Handle an event. An exception ends the request that the event concerns (with 500), not the
-        program."""
+        """Handle an event. An exception ends the request that it concerns (with 500), not the program."""
         try:
             for action in self.gateway.handle(self.now(), event):
                 self.carry_out(action)
@@ -94,40 +93,55 @@
 
     def carry_out(self, action: io.Action) -> None:
         """Carry out one action of the decisions."""
-        if isinstance(action, io.Attempt):
-            self.attempt(action)
-        elif isinstance(action, io.CounterAdd):
-            if self.counter is not None:
-                self.counter.add(action.name, action.amount, action.lifetime)
-            else:
-                self.submit(io.CounterReply(action.name, io.Outcome.CONNECT_FAILED, 0.0, 0.0))
-        elif isinstance(action, io.SetTimer):
-            self.loop.call_later(action.delay, self.submit, io.TimerFired(action.token))
-        elif isinstance(action, io.Refuse):
-            self.finish(action.request, True, action.retry_in)
-        elif isinstance(action, io.Fail):
-            self.finish(action.request, False, 0.0)
-        elif isinstance(action, io.CancelAttempt):
-            pending = self.pending.get(action.request)
-            if (
-                pending is not None
-                and pending.exchange is not None
-                and pending.attempts == action.attempt + 1
-            ):
-                self.upstream.cancel(pending.exchange)
-        elif isinstance(action, io.SendPeerMessage):
-            if self.peers is not None:
-                self.peers.tell(action.peer, action.payload)
-        elif isinstance(action, io.HealthCheck):
-            self.check_health(action.backend)
-        elif isinstance(action, io.CloseIdle):
-            self.upstream.close_idle(action.backend)
-        elif isinstance(action, io.Log):
-            log.info("%s", action.text)
-        elif isinstance(action, io.Cordons):
-            self.cordon_entries = action.cordon_entries
-            self.unavailable_by_cordon = True
-        # Subscribe and FetchList need nothing: the watch is always on. UnknownBackend needs no action.
+        match action:
+            case io.Attempt():
+                self.attempt(action)
+            case io.Refuse():
+                self.finish(action.request, True, action.retry_in)
+            case io.Fail():
+                self.finish(action.request, False, 0.0)
+            case io.CancelAttempt():
+                self._cancel_attempt(action)
+            case io.SetTimer():
+                self.loop.call_later(action.delay, self.submit, io.TimerFired(action.token))
+            case io.CounterAdd():
+                self._call_counter(action)
+            case _:
+                self._carry_out_maintenance(action)
+
+    def _carry_out_maintenance(self, action: io.Action) -> None:
+        """Carry out an action that concerns no single request.
+
+        `Subscribe` and `FetchList` need nothing, as the watch is always on; nor does `UnknownBackend`.
+        """
+        match action:
+            case io.SendPeerMessage():
+                if self.peers is not None:
+                    self.peers.tell(action.peer, action.payload)
+            case io.HealthCheck():
+                self.check_health(action.backend)
+            case io.CloseIdle():
+                self.upstream.close_idle(action.backend)
+            case io.Log():
+                log.info("%s", action.text)
+            case io.Cordons():
+                self.cordon_entries = action.cordon_entries
+                self.unavailable_by_cordon = True
+
+    def _cancel_attempt(self, action: io.CancelAttempt) -> None:
+        """Cancel an attempt, if it is still the latest one of its request."""
+        pending = self.pending.get(action.request)
+        if pending is None or pending.exchange is None:
+            return
+        if pending.attempts == action.attempt + 1:
+            self.upstream.cancel(pending.exchange)
+
+    def _call_counter(self, action: io.CounterAdd) -> None:
+        """Call the shared counter; without one, the call has failed."""
+        if self.counter is not None:
+            self.counter.add(action.name, action.amount, action.lifetime)
+        else:
+            self.submit(io.CounterReply(action.name, io.Outcome.CONNECT_FAILED, 0.0, 0.0))
 
     # Console commands.
 
@@ -162,7 +176,9 @@
 
     def follow(self, clients: int = 0) -> None:
         """Adopt the cordons that a sibling process has written, and divide the connection limits with it.
-        `clients` is the number of this process's client connections."""
+
+        `clients` is the number of this process's client connections.
+        """
         if (cordon_entries := self.state.changed_cordons()) is not None:
             self.restore(cordon_entries)
         self.state.publish(clients, len(self.upstream.connections))
@@ -181,8 +197,10 @@
     # The list of backends.
 
     def listed(self, listing: Listing, saved: bool = False) -> None:
-        """Apply a listing, or one `saved` by an earlier process: old connections are closed before the
-        decisions may send anything."""
+        """Apply a listing, or one `saved` by an earlier process.
+
+        Old connections are closed before the decisions may send anything.
+        """
         if listing.is_full:
             for backend in self.upstream.pools.keys() - {e.backend for e, _ in listing.entries}:
                 self.upstream.update(backend, None)
--- a/ingress/net/peers.py
+++ b/ingress/net/peers.py
@@ -51,8 +51,10 @@
         log.debug("peers: %s", exc)
 
     def tell(self, peer: int | None, payload: bytes) -> None:
-        """Send a message to an ingress, or (None) to all; one that is too long, or to an unknown ingress, is
-        logged and dropped."""
+        """Send a message to an ingress, or (None) to all.
+
+        One that is too long, or to an unknown ingress, is logged and dropped.
+        """
         if len(payload) > MAX_MESSAGE or (peer is not None and not 0 <= peer < len(self.peers)):
             log.error("peers: %d bytes to %r are not sent", len(payload), peer)
         elif self.transport is not None:
--- a/ingress/net/pending_requests.py
+++ b/ingress/net/pending_requests.py
@@ -121,8 +121,10 @@
         self.forget(pending)
 
     def may_refuse(self, pending: PendingRequest) -> bool:
-        """Whether a refusal, which implies that a retry is harmless, may be given: if nothing ran, or if
-        retries of the class are harmless anyway."""
+        """Whether a refusal, which implies that a retry is harmless, may be given.
+
+        If nothing ran, or if retries of the class are harmless anyway.
+        """
         name = pending.call.request.class_name
         effect = self.effects[name]
         return (
@@ -132,8 +134,10 @@
         )
 
     def finish(self, name: str, refused: bool, wait: float) -> None:
-        """Give the decisions' final response: 502, or if `refused`, 503 or (with a `wait` in seconds until a
-        quota has room again) 429."""
+        """Give the decisions' final response: 502, or if `refused`, 503 or 429.
+
+        429 is for a `wait` in seconds until a quota has room again.
+        """
         pending = self.pending.get(name)
         if pending is None:
             return
--- a/ingress/net/process_state.py
+++ b/ingress/net/process_state.py
@@ -121,8 +121,11 @@
         follow: Callable[[Mapping[str, io.CordonEntry]], None],
         order: Callable[[], Mapping[str, io.CordonEntry] | None],
     ) -> bool:
-        """Change the cordons under the lock: `follow` adopts a sibling's changes, then `order` makes the
-        change and returns the new cordons, or None if it isn't valid. Returns whether it was valid."""
+        """Change the cordons under the lock; returns whether the change was valid.
+
+        `follow` adopts a sibling's changes, then `order` makes the change and returns the new cordons, or
+        None if it isn't valid.
+        """
         with self.alone():
             if (changed := self.changed_cordons()) is not None:
                 follow(changed)
--- a/ingress/net/request_parser.py
+++ b/ingress/net/request_parser.py
@@ -5,6 +5,7 @@
 import re
 
 from ingress import interface as io
+from ingress.net.errors import MalformedRequestError
 
 CUSTOMER = re.compile(rb"(?:/[^/?#]*)+?/([0-9a-fA-F]{16})(?:\?.*)?")
 CALL_ID = re.compile(rb"[!-~]{1,64}")
@@ -16,21 +17,15 @@
 MAX_BUDGET_S = 3600.0
 
 
-class BadRequest(ValueError):
-    """A request that violates the protocol; the message says how."""
-
-
 def read_request(
     settings: io.Settings, customer: bytes, method: bytes, headers: list[tuple[bytes, bytes]]
 ) -> io.Request:
-    """The decisions' request from the headers; `customer` is hexadecimal. Raises BadRequest if they are
-    invalid."""
-    values: dict[bytes, bytes] = {}
-    for name, value in headers:
-        key = name.lower()
-        if key in values and (key.startswith(b"x-") or key in ONCE):
-            raise BadRequest(f"{key.decode()}: more than one")
-        values[key] = value
+    """The decisions' request from the headers; `customer` is hexadecimal.
+
+    Raises:
+        MalformedRequestError: The headers are invalid.
+    """
+    values = _single_values(headers)
     number = int(customer, 16)
     call_id = values.get(b"x-call-id", b"")
     budget = BUDGET.fullmatch(values.get(b"x-budget", b""))
@@ -38,20 +33,17 @@
     plan = values.get(b"x-tier", b"").decode("latin-1")
     cls = next((c for c in settings.classes if c.name == class_name), None)
     if number >= MAX_CUSTOMER:
-        raise BadRequest("no such customer")
+        raise MalformedRequestError("no such customer")
     if CALL_ID.fullmatch(call_id) is None:
-        raise BadRequest("x-call-id: expected 1 to 64 visible characters")
+        raise MalformedRequestError("x-call-id: expected 1 to 64 visible characters")
     if cls is None:
-        raise BadRequest("x-call-class: no such class")
+        raise MalformedRequestError("x-call-class: no such class")
     if all(p.name != plan for p in settings.plans):
-        raise BadRequest("x-tier: no such plan")
-    if (method == b"GET") != (cls.effect is io.Effect.SAFE) or method not in (b"GET", b"POST"):
-        raise BadRequest("the method does not fit the class")
-    if cls.effect is io.Effect.KEYED and not values.get(b"idempotency-key"):
-        raise BadRequest("idempotency-key: missing")
+        raise MalformedRequestError("x-tier: no such plan")
+    _check_effect(cls.effect, method, values)
     expires_in = int(budget[1]) / (1e3 if budget[2] == b"m" else 1e6) if budget else 0.0
     if not 0 < expires_in <= MAX_BUDGET_S:
-        raise BadRequest("x-budget: expected a time such as 480m")
+        raise MalformedRequestError("x-budget: expected a time such as 480m")
     if cls.deadline > 0:  # a silent backend must not hold a request longer than any client waits
         expires_in = min(expires_in, cls.deadline)
     units, spread, first = _terms(values.get(b"x-call-terms", b""), settings)
@@ -68,6 +60,25 @@
     )
 
 
+def _single_values(headers: list[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
+    """The headers by lower case name; a repeated one that must occur only once is an error."""
+    values: dict[bytes, bytes] = {}
+    for name, value in headers:
+        key = name.lower()
+        if key in values and (key.startswith(b"x-") or key in ONCE):
+            raise MalformedRequestError(f"{key.decode()}: more than one")
+        values[key] = value
+    return values
+
+
+def _check_effect(effect: io.Effect, method: bytes, values: dict[bytes, bytes]) -> None:
+    """Check that the method fits the class, and that a deduplicated request has its key."""
+    if (method == b"GET") != (effect is io.Effect.SAFE) or method not in (b"GET", b"POST"):
+        raise MalformedRequestError("the method does not fit the class")
+    if effect is io.Effect.KEYED and not values.get(b"idempotency-key"):
+        raise MalformedRequestError("idempotency-key: missing")
+
+
 def _terms(text: bytes, settings: io.Settings) -> tuple[float, int, int]:
     pairs = [part.strip().partition("=")[::2] for part in text.decode("latin-1").split(",")]
     terms = dict(pairs)
@@ -75,9 +86,11 @@
     if len(terms) < len(pairs) or not (
         UNITS.fullmatch(units) and COUNT.fullmatch(spread) and COUNT.fullmatch(first)
     ):
-        raise BadRequest("x-call-terms: expected units=, spread= and first=, each once")
+        raise MalformedRequestError("x-call-terms: expected units=, spread= and first=, each once")
     if not 0 < float(units) <= settings.max_units:
-        raise BadRequest(f"x-call-terms: units: expected more than 0 and up to {settings.max_units:g}")
+        raise MalformedRequestError(
+            f"x-call-terms: units: expected more than 0 and up to {settings.max_units:g}"
+        )
     if not (1 <= int(spread) <= settings.instances and int(first) < settings.instances):
-        raise BadRequest("x-call-terms: spread and first: no such ingresses")
+        raise MalformedRequestError("x-call-terms: spread and first: no such ingresses")
     return float(units), int(spread), int(first)
--- a/ingress/net/response_queue.py
+++ b/ingress/net/response_queue.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import deque
+from http import HTTPStatus
 
 from ingress.net.client_connection_base import ClientConnectionBase
 from ingress.net.connection_interfaces import ConnectionServer, ImmediateResponse
@@ -68,7 +69,7 @@
                 self.call = item
                 self.server.request_handler.take(item, self)
             else:
-                lines = b"Retry-After: 1\r\n" if item.status == 503 else b""
+                lines = b"Retry-After: 1\r\n" if item.status == HTTPStatus.SERVICE_UNAVAILABLE else b""
                 self.write(item.status, item.lines or lines, item.why.encode(), item.bodiless)
         if not self.discarding_input:
             self.regulate()
@@ -82,7 +83,7 @@
         call, self.call = self.call, None
         if call is not None:
             self.release(call)
-        if status == 400:  # rejected only by the handler, for a duplicate id
+        if status == HTTPStatus.BAD_REQUEST:  # rejected only by the handler, for a duplicate id
             self.discarding_input = True
             self.keep = False
         if call is not None and call.unfinished:
@@ -94,7 +95,8 @@
 
     def begin(self, lines: bytes, length: int | None, source: Exchange) -> None:
         """Send the head of a streamed final response; its Content-Length is `length`, if known."""
-        assert self.call is not None and self.transport is not None
+        assert self.call is not None
+        assert self.transport is not None
         self.release(self.call)
         self.keep = self.keep and not self.call.unfinished
         self.chunked = length is None and self.call.chunks
--- a/ingress/net/server.py
+++ b/ingress/net/server.py
@@ -63,8 +63,10 @@
         return not self.draining and any(map(self.ingress.open_to, self.ingress.serving))
 
     def healthy(self) -> bool:
-        """Whether clients should send requests to this ingress: a leaving process says yes while a sibling
-        takes over."""
+        """Whether clients should send requests to this ingress.
+
+        A leaving process says yes while a sibling takes over.
+        """
         return self.ready() or (self.leaving and self.ingress.beside > 0)
 
     def room(self, more: int) -> bool:
@@ -72,9 +74,11 @@
         return self.bodies + more <= self.bodies_most // (1 + self.ingress.beside)
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Register a connection. Beyond the limit, one that never sent anything, or else the one idle
-        longest, is closed. If none is idle, the new one is marked `crowded` and its request gets a 503: if it
-        were closed without a response, the request would be lost.
+        """Register a connection.
+
+        Beyond the limit, one that never sent anything, or else the one idle longest, is closed. If none is
+        idle, the new one is marked `crowded` and its request gets a 503: if it were closed without a
+        response, the request would be lost.
         """
         self.connections.add(connection)
         if len(self.connections) + self.ingress.sibling_clients > self.most:
--- a/ingress/net/service_protocol.py
+++ b/ingress/net/service_protocol.py
@@ -4,9 +4,10 @@
 
 from ingress import interface as io
 from ingress.net.connection_interfaces import ImmediateResponse
+from ingress.net.errors import MalformedRequestError
 from ingress.net.exchange import PLAIN, outcome_of
 from ingress.net.http_messages import ClientRequest, Response
-from ingress.net.request_parser import CUSTOMER, BadRequest, read_request
+from ingress.net.request_parser import CUSTOMER, read_request
 
 
 class ServiceProtocol:
@@ -31,7 +32,7 @@
             return ImmediateResponse(404, "no such path", close=True)
         try:
             return read_request(self.settings, match[1], method, headers)
-        except BadRequest as error:
+        except MalformedRequestError as error:
             return ImmediateResponse(400, str(error), close=True)
 
     def message(self, call: ClientRequest, backend: str, patience: float) -> bytes:
--- a/ingress/net/upload.py
+++ b/ingress/net/upload.py
@@ -17,8 +17,9 @@
 
 
 class Upload:
-    """Buffers only what is received before an attempt begins; from then on the client is read as fast as the
-    backend accepts data.
+    """Buffers only what is received before an attempt begins.
+
+    From then on the client is read as fast as the backend accepts data.
 
     `hold(True)` suspends reading from the client and `hold(False)` resumes it. What has been sent isn't kept,
     so no further attempt is possible (`spent`). `length` is the Content-Length, or None for a chunked body.
--- a/ingress/net/upstream.py
+++ b/ingress/net/upstream.py
@@ -135,8 +135,11 @@
         return None
 
     def flow(self, head: Response, surplus: bool) -> None:
-        """Pass on the received part of a streamed response. One that isn't a success, or that nobody receives
-        (a probe's), ends the connection. `surplus`: complete responses came in the same read."""
+        """Pass on the received part of a streamed response.
+
+        One that isn't a success, or that nobody receives (a health check's), ends the connection. `surplus`:
+        complete responses came in the same read.
+        """
         exchange = self.exchange
         reader = self.reader
         if exchange is None or exchange.sink is None or exchange.judge(head) is not io.Outcome.OK:
@@ -189,8 +192,10 @@
         exchange.end(exchange.judge(answer) or io.Outcome.RESET, answer)
 
     def stalled(self) -> None:
-        """A response has stalled midway: wait on only if the client can't get another one (`Exchange.waits`),
-        or if there are unread bytes, as then it was this process that paused.
+        """A response has stalled midway.
+
+        Wait on only if the client can't get another one (`Exchange.waits`), or if there are unread bytes, as
+        then it was this process that paused.
         """
         waits = self.exchange is not None and self.exchange.waits()
         try:
@@ -247,8 +252,10 @@
         self.heard = 0  # number of reads; the loop's clock is too coarse to order events
 
     def take(self, oldest: float) -> Connection | None:
-        """The newest idle connection that is still open and idle since `oldest` (loop time) or later; None if
-        there is none. Others are closed."""
+        """The newest idle connection that is still open and idle since `oldest` (loop time) or later.
+
+        None if there is none. Others are closed.
+        """
         while self.idle:
             connection = self.idle.pop()
             if connection.idle_since >= oldest and not connection.stale():
@@ -277,8 +284,10 @@
 
 
 class Upstream:
-    """The pools of all backends, with at most `most` connections together with sibling processes. Times are
-    in seconds; `idle` is the backends' own idle timeout."""
+    """The pools of all backends, with at most `most` connections together with sibling processes.
+
+    Times are in seconds; `idle` is the backends' own idle timeout.
+    """
 
     def __init__(
         self,
@@ -340,8 +349,11 @@
         self.give_up(exchange, io.Outcome.CANCELLED)
 
     def give_up(self, exchange: Exchange, outcome: io.Outcome) -> None:
-        """End an exchange. If nothing at all was received from the backend since its start, the idle
-        connections count as dead too, and are closed."""
+        """End an exchange.
+
+        If nothing at all was received from the backend since its start, the idle connections count as dead
+        too, and are closed.
+        """
         pool = self.pools.get(exchange.backend)
         if pool is not None and exchange.written and pool.heard == exchange.heard:
             pool.close_idle()
--- a/ingress/net/upstream_attempts.py
+++ b/ingress/net/upstream_attempts.py
@@ -27,8 +27,11 @@
         self.upstream.cancel(exchange)
 
     def attempt(self, action: io.Attempt) -> None:
-        """Send a request to a backend. An attempt that isn't allowed (the request is answered, or has one in
-        flight) is logged and reported as not sent."""
+        """Send a request to a backend.
+
+        An attempt that isn't allowed (the request is answered, or has one in flight) is logged and reported
+        as not sent.
+        """
         pending = self.pending.get(action.request)
         now = self.loop.time()
         if pending is None or pending.answered or pending.exchange is not None:
--- a/ingress/opencap.py
+++ b/ingress/opencap.py
@@ -58,34 +58,39 @@
         customer = request.customer
         most = request.customer.plan.max_open
         if most <= 0:
-            return self.gw.send(now, request)
+            self.gw.send(now, request)
+            return
         request.pace = self.pace(now, request)
         self.arrive(now, customer)
-        if customer.out >= most:  # sure: the requests open here alone fill it
-            return self.gw.refuse(now, request, self.gw.latency[request.cls.name])
+        if customer.open_requests >= most:  # sure: the requests open here alone fill it
+            self.gw.refuse(now, request, self.gw.latency[request.cls.name])
+            return
         if not self.gw.limit.allows(now) and self.gw.late(now, request):
-            return self.gw.refuse(now, request, 0.0)
-        customer.out += 1
+            self.gw.refuse(now, request, 0.0)
+            return
+        customer.open_requests += 1
         self.open[request.req.id] = customer
-        if customer.counted_in == int(now // self.length) and customer.counted >= customer.out:
-            return self.gw.send(now, request)  # into a reserved place
+        if customer.counted_in == int(now // self.length) and customer.counted >= customer.open_requests:
+            self.gw.send(now, request)  # into a reserved place
+            return
         is_certain = (
-            customer.out > max(1, most // customer.width)
+            customer.open_requests > max(1, most // customer.width)
             or now < customer.cap_full_at + request.cls.objective
         )
         if not self.gw.s.counter or not self.call_policy.should_call(
             1.0 if is_certain else self.need(request.pace, customer.plan)
         ):
-            return self.enter_alone(now, request)
+            self.enter_alone(now, request)
+            return
         self.count(now, customer, request)
 
     def pace(self, now: float, request: ActiveRequest) -> float:
         """Estimate the requests that a customer would keep open, from arrivals here and from totals."""
         customer = request.customer
         span = PACE_S * (1 - math.exp((self.gw.began - now) / PACE_S))
-        came = customer.recent_arrivals * math.exp((customer.arrivals_at - now) / PACE_S)
+        arrivals = customer.recent_arrivals * math.exp((customer.arrivals_at - now) / PACE_S)
         prior = PACE_PRIOR_S * PACE_PRIOR * customer.plan.max_open
-        own = (came * customer.width * self.gw.latency[request.cls.name] + prior) / (span + PACE_PRIOR_S)
+        own = (arrivals * customer.width * self.gw.latency[request.cls.name] + prior) / (span + PACE_PRIOR_S)
         reported = customer.rate * self.gw.latency[request.cls.name]  # of all ingresses, so a better estimate
         return own + (reported - own) * customer.rate_part * math.exp((customer.rate_at - now) / PACE_S)
 
@@ -98,14 +103,17 @@
         customer.unreported_arrivals += 1
 
     def enter_alone(self, now: float, request: ActiveRequest) -> None:
-        """Decide without a total: within an even share (at least one), and at random as `left` says."""
+        """Decide without a total: within an even share (at least one), and at random by `remaining_ratio`."""
         customer = request.customer
         even = max(1, customer.plan.max_open // (customer.width * self.gw.processes))
-        if customer.out > even or self.gw.rng.random() >= self.left(request.pace, customer.plan):
-            return self.gw.refuse(now, request, self.gw.latency[request.cls.name])
+        if customer.open_requests > even or self.gw.rng.random() >= self.remaining_ratio(
+            request.pace, customer.plan
+        ):
+            self.gw.refuse(now, request, self.gw.latency[request.cls.name])
+            return
         self.gw.send(now, request)
 
-    def part(self, pace: float, plan: io.PlanSettings) -> float:
+    def best_uncounted_ratio(self, pace: float, plan: io.PlanSettings) -> float:
         """The best fraction of requests to admit without a count, given the cost of one beyond the cap."""
         if plan.name not in self.best:
             paces = (plan.max_open * n / 20 for n in range(1, 41))
@@ -116,18 +124,18 @@
             )
         return min(1.0, self.best[plan.name] / max(pace, 1e-9))
 
-    def left(self, pace: float, plan: io.PlanSettings) -> float:
+    def remaining_ratio(self, pace: float, plan: io.PlanSettings) -> float:
         """The same of the requests without a verdict, as those with one take places too."""
         if self.call_policy.counter_down():
-            return self.part(pace, plan)
+            return self.best_uncounted_ratio(pace, plan)
         call_share = min(1.0, self.call_policy.draw_share(self.need(pace, plan)))
         seen = call_share * pace * (1 - blocking_probability(call_share * pace, plan.max_open))
-        unseen = self.part(pace, plan) * pace - seen
+        unseen = self.best_uncounted_ratio(pace, plan) * pace - seen
         return min(1.0, max(0.0, unseen) / max(pace * (1 - call_share), 1e-9))
 
     def need(self, pace: float, plan: io.PlanSettings) -> float:
         """What a verdict gains for a request over admitting a fraction without a count."""
-        part = self.part(pace, plan)
+        part = self.best_uncounted_ratio(pace, plan)
         unseen = part * (1 - (1 + plan.over_cost) * overflow_probability(part * pace, plan.max_open))
         return VERDICT_GAIN * max(0.0, 1 - blocking_probability(pace, plan.max_open) - unseen)
 
@@ -137,10 +145,10 @@
         if customer.counted_in != window:
             customer.counted = 0
             customer.counted_in = window
-        change = customer.out - customer.counted
+        change = customer.open_requests - customer.counted
         if not self.gw.s.counter or (change == 0 and request is None):
             return
-        customer.counted = customer.out
+        customer.counted = customer.open_requests
         name = mix(~customer.key, window)
         self.calls.setdefault(name, deque()).append((customer, window, change, request))
         amount = change + ARRIVAL * customer.unreported_arrivals
@@ -165,25 +173,27 @@
         if request is None or request.req.id not in self.gw.active_requests:
             return
         if event.outcome is not io.Outcome.OK:
-            return self.enter_alone(now, request)
+            self.enter_alone(now, request)
+            return
         if total > customer.plan.max_open:
             customer.cap_full_at = now
-            return self.gw.refuse(now, request, self.gw.latency[request.cls.name])
+            self.gw.refuse(now, request, self.gw.latency[request.cls.name])
+            return
         self.gw.send(now, request)
 
     def leave(self, now: float, request: str, served: bool = True) -> None:
         """A request is no longer open: free its place at once, or reserve it briefly if calls are scarce."""
         customer = self.open.pop(request, None)
         if customer is not None:
-            customer.out -= 1
+            customer.open_requests -= 1
             if customer.counted_in != int(now // self.length):
-                customer.counted = min(customer.counted, customer.out)
-            if customer.counted <= customer.out:
+                customer.counted = min(customer.counted, customer.open_requests)
+            if customer.counted <= customer.open_requests:
                 return  # it isn't counted
-            if (
-                self.call_policy.call_share >= 1 or not served
-            ):  # the place of a refused request isn't reserved
-                return self.count(now, customer)
+            is_refused = not served  # its place isn't reserved
+            if self.call_policy.call_share >= 1 or is_refused:
+                self.count(now, customer)
+                return
             wait = (1 - self.call_policy.call_share) * self.gw.s.counter_timeout
             self.reserved_places.append((now + wait, customer))
             self.gw.acts.append(io.SetTimer(wait, RELEASE_TIMER))
@@ -195,7 +205,7 @@
             if customer.counted_in == int(now // self.length):
                 self.count(now, customer)
             else:
-                customer.counted = min(customer.counted, customer.out)
+                customer.counted = min(customer.counted, customer.open_requests)
 
     def renew(self, now: float) -> None:
         """Add the requests open here to a new count; if calls are scarce, only where some were counted."""
--- a/ingress/routing.py
+++ b/ingress/routing.py
@@ -21,9 +21,8 @@
 SWEEP_INTERVAL_S = 0.05  # interval of checks for silent backends, and of the queue
 # Fraction of its objective that a class's unloaded latency is taken to be at most.
 MAX_BASE_LATENCY_RATIO = 0.16
-# added cost of a backend that surely rejects a class or plan; decay time of rejections
-REJECTION_COST = 4.0
-REJECTION_MEMORY_S = 10.0
+REJECTION_COST = 4.0  # added cost of a backend that surely rejects a class or plan
+REJECTION_MEMORY_S = 10.0  # decay time of rejections
 LATENCY_RATIO_CAP = 4.0  # times the unloaded latency, at which a latency is capped
 # Fraction of the stated cold budget that is used, as the warm rate is only an estimate.
 SLOW_START_SAFETY = 0.5
@@ -31,9 +30,15 @@
 SLOW_START_QUEUE_LIMIT = 4.0
 SLOW_START_BURST = 1.5  # most tokens (attempts) saved up for a cold backend
 UNTRIED_COST = 1.15  # relative cost of a backend that has not answered here yet
-# random cost that breaks ties; decay time of the rate of answers
-TIE = 0.02
-RATE_S = 5.0
+ERROR_COST = 4.0  # added cost of a backend at which every attempt fails
+TIE = 0.02  # random cost that breaks ties
+RATE_S = 5.0  # decay time of the rate of answers
+ERROR_STEP = 0.3  # by which a failure moves a backend's error rate towards 1,
+ERROR_DECAY = 0.8  # and factor on it after a success
+REJECTION_STEP = 0.1  # by which an answer moves the usual fraction of rejections
+LATENCY_STEP = 0.05  # by which a success moves the usual latency of its class,
+BASE_STEP = 0.01  # and by which the unloaded latency follows that,
+OVERLOADED_BASE_STEP = 0.0005  # also under overload
 FAULTS = (io.Outcome.ERROR, io.Outcome.RESET, io.Outcome.CONNECT_FAILED)
 ANSWERS = (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.RESET, io.Outcome.FULL)
 
@@ -101,8 +106,10 @@
         best = self.choose(now, request)
         if best is None:
             if self.late(now, request):
-                return self.refuse(now, request, 0.0)  # early, not late
-            return bisect.insort_right(self.queue, request, key=lambda g: -g.value)
+                self.refuse(now, request, 0.0)  # early, not late
+                return
+            bisect.insort_right(self.queue, request, key=lambda g: -g.value)
+            return
         request.attempts += 1
         request.sent = now
         request.attempt_out = True
@@ -192,47 +199,68 @@
 
     def choose(self, now: float, request: ActiveRequest) -> Backend | None:
         """The healthy, allowed backend with the least own work in flight over its learnt speed; else None."""
-        best: Backend | None = None
-        least = 0.0
         if not self.limit.allows(now):
             return None
-        keyed = request.ran_on if request.cls.effect is io.Effect.KEYED else None
+        best: Backend | None = None
+        least = 0.0
         keys = [
             (key, 1 + REJECTION_COST * self.rejection_share[key])
             for key in (request.cls.name, request.req.plan)
         ]
         for backend in self.fleet.backends.values():
-            e = backend.entry
-            if not backend.usable or e.backend in request.bad or now < backend.resting:
+            if not self._is_candidate(now, request, backend) or not self._has_token(now, backend):
                 continue
-            if backend.trial and (backend.out or request.cls.effect is io.Effect.UNSAFE):
-                continue
-            if keyed is not None and (
-                (request.cls.group is io.Group.ZONE and e.zone != keyed.zone)
-                or (request.cls.group is io.Group.CELL and e.cell != keyed.cell)
-            ):
-                continue
-            if backend.start > 0 and (ramp := self.fleet.slow_start_capacity(now, backend)) < 1.0:
-                gain = self.pace() * ramp * self.s.fall_multiple * SLOW_START_SAFETY
-                backend.tokens = min(SLOW_START_BURST, backend.tokens + gain * (now - backend.tokens_at))
-                backend.tokens_at = now
-                if backend.tokens < 1.0:
-                    continue
-            cost = self.cost(now, request, backend) * (1 + 4 * backend.errors)
-            for key, usual in keys:
-                if key in backend.rejection_share:
-                    last, at = backend.rejection_share[key]
-                    usual = 1 + REJECTION_COST * (
-                        self.rejection_share[key]
-                        + (last - self.rejection_share[key]) * math.exp((at - now) / REJECTION_MEMORY_S)
-                    )
-                cost *= usual
+            cost = self.cost(now, request, backend) * (1 + ERROR_COST * backend.errors)
+            cost = self._with_rejections(now, backend, keys, cost)
             cost *= 1 + TIE * self.rng.random()
             if best is None or cost < least:
                 best = backend
                 least = cost
         return best
 
+    def _is_candidate(self, now: float, request: ActiveRequest, backend: Backend) -> bool:
+        """Whether a request may go to a backend, as far as its health and the request's class go."""
+        entry = backend.entry
+        if not backend.usable or entry.backend in request.bad or now < backend.resting:
+            return False
+        if backend.trial and (backend.out or request.cls.effect is io.Effect.UNSAFE):
+            return False
+        ran_on = request.ran_on if request.cls.effect is io.Effect.KEYED else None
+        if ran_on is None:
+            return True
+        if request.cls.group is io.Group.ZONE:  # only those deduplicate it that share its key
+            return entry.zone == ran_on.zone
+        return request.cls.group is not io.Group.CELL or entry.cell == ran_on.cell
+
+    def _has_token(self, now: float, backend: Backend) -> bool:
+        """Whether a backend in slow start has a token for an attempt; tokens accrue with its capacity."""
+        if backend.start <= 0:
+            return True
+        capacity = self.fleet.slow_start_capacity(now, backend)
+        if capacity >= 1.0:
+            return True
+        rate = self.pace() * capacity * self.s.fall_multiple * SLOW_START_SAFETY
+        backend.tokens = min(SLOW_START_BURST, backend.tokens + rate * (now - backend.tokens_at))
+        backend.tokens_at = now
+        return backend.tokens >= 1.0
+
+    def _with_rejections(
+        self, now: float, backend: Backend, keys: list[tuple[str, float]], cost: float
+    ) -> float:
+        """The cost of a backend, raised if it has rejected the class or plan lately.
+
+        `keys` has class and plan with the factor that is usual for each.
+        """
+        for key, usual in keys:
+            factor = usual
+            if key in backend.rejection_share:
+                last, at = backend.rejection_share[key]
+                share = self.rejection_share[key]
+                recent = share + (last - share) * math.exp((at - now) / REJECTION_MEMORY_S)
+                factor = 1 + REJECTION_COST * recent
+            cost *= factor
+        return cost
+
     def cost(self, now: float, request: ActiveRequest, backend: Backend) -> float:
         """The estimated time of one more request at a backend, in usual latencies."""
         return (len(backend.out) + 1) * self.slowness(backend)
@@ -278,7 +306,8 @@
                 self.limit.in_flight -= 1
                 self.judge(now, backend, event, name, plan)
         if request is None:
-            return self.left(now, event.request)
+            self.left(now, event.request)
+            return
         request.attempt_out = False
         if event.outcome not in io.NEVER_RAN and request.ran_at is None:
             request.ran_at = request.sent
@@ -288,7 +317,8 @@
             self.left(now, event.request)
             if self.queue:
                 self.dispatch(now)
-            return self.served(now, request, event)
+            self.served(now, request, event)
+            return
         request.bad.add(event.backend)
         fleet_saturated = event.outcome is io.Outcome.FULL and self.limit.overloaded  # others are full too
         if not fleet_saturated and not event.spent and self.may_send(now, request, request.ran_at):
@@ -298,47 +328,61 @@
 
     def judge(self, now: float, backend: Backend, event: io.AttemptEnded, name: str, plan: str) -> None:
         """Learn the latency and errors of a backend, and adjust the concurrency limit."""
-        # A timeout is no sign of life, nor a fault.
-        backend.answered = now if event.outcome in ANSWERS else backend.answered
-        if event.outcome is io.Outcome.OK or (
-            event.outcome is io.Outcome.TIMEOUT and event.elapsed > self.latency[name]
-        ):
-            # The cap: a few very expensive requests are no overload.
-            times = min(event.elapsed / self.base[name], LATENCY_RATIO_CAP)
-            backend.ratio = self.slowness(backend, 1.0)
-            backend.ratio = backend.ratio + self.step * (times - backend.ratio)
-            backend.known = True
-            self.limit.observe(now, times, event.elapsed, self.fleet.usable, self.s.instances)
-        if event.outcome in (io.Outcome.OK, io.Outcome.FULL):
-            for key in (name, plan):  # some backends reject one class or plan; a full fleet rejects all
-                backend.rejection_share[key] = (float(event.outcome is io.Outcome.FULL), now)
-                self.rejection_share[key] += 0.1 * (
-                    backend.rejection_share[key][0] - self.rejection_share[key]
-                )
-        if event.outcome is io.Outcome.OK:
-            # Count answers, not attempts: rejected ones would make backends look faster than they are.
-            each = 1 / RATE_S / max(1, self.fleet.usable)
-            self.rate = self.rate * math.exp((self.rate_at - now) / RATE_S) + each
-            self.rate_at = now
-            backend.errors = 0.8 * backend.errors
-            backend.trial = False
-            # Of all ingresses: each sends one more for one served.
-            in_flight = event.load.get("inflight", 0.0)
-            if (
-                in_flight <= SLOW_START_QUEUE_LIMIT and self.fleet.slow_start_capacity(now, backend) < 1.0
-            ):  # an answer adds a token
-                backend.tokens = min(SLOW_START_BURST, backend.tokens + 1.0)
-            self.latency[name] += 0.05 * (event.elapsed - self.latency[name])
-            usual = self.base[name] + (
-                0.01 if self.limit.latency_ratio < OVERLOAD_LATENCY_RATIO else 0.0005
-            ) * (self.latency[name] - self.base[name])
-            self.base[name] = min(
-                usual, MAX_BASE_LATENCY_RATIO * self.classes[name].objective
-            )  # overload is never usual
-        elif event.outcome in FAULTS:
-            backend.errors += 0.3 * (1 - backend.errors)
-            if backend.trial or backend.errors >= BAD_SHARE:
-                self.acts += self.fleet.eject(now, backend, "failing")
+        outcome = event.outcome
+        if outcome in ANSWERS:  # a timeout is no sign of life, nor a fault
+            backend.answered = now
+        is_slow = outcome is io.Outcome.TIMEOUT and event.elapsed > self.latency[name]
+        if outcome is io.Outcome.OK or is_slow:
+            self._learn_latency_ratio(now, backend, event.elapsed, name)
+        if outcome in (io.Outcome.OK, io.Outcome.FULL):
+            self._learn_rejection(now, backend, outcome is io.Outcome.FULL, (name, plan))
+        if outcome is io.Outcome.OK:
+            self._learn_success(now, backend, event, name)
+        elif outcome in FAULTS:
+            self._learn_fault(now, backend)
+
+    def _learn_latency_ratio(self, now: float, backend: Backend, elapsed: float, name: str) -> None:
+        """An attempt took so many seconds: adjust the backend's ratio and the concurrency limit."""
+        # The cap: a few very expensive requests are no overload.
+        times = min(elapsed / self.base[name], LATENCY_RATIO_CAP)
+        backend.ratio = self.slowness(backend, 1.0)
+        backend.ratio = backend.ratio + self.step * (times - backend.ratio)
+        backend.known = True
+        self.limit.observe(now, times, elapsed, self.fleet.usable, self.s.instances)
+
+    def _learn_rejection(
+        self, now: float, backend: Backend, is_rejected: bool, keys: tuple[str, str]
+    ) -> None:
+        """Some backends reject one class or plan (`keys`); a full fleet rejects all."""
+        for key in keys:
+            backend.rejection_share[key] = (float(is_rejected), now)
+            change = backend.rejection_share[key][0] - self.rejection_share[key]
+            self.rejection_share[key] += REJECTION_STEP * change
+
+    def _learn_success(self, now: float, backend: Backend, event: io.AttemptEnded, name: str) -> None:
+        """A backend has served a request: it is healthy, and its class's usual latency is known better."""
+        # Count answers, not attempts: rejected ones would make backends look faster than they are.
+        each = 1 / RATE_S / max(1, self.fleet.usable)
+        self.rate = self.rate * math.exp((self.rate_at - now) / RATE_S) + each
+        self.rate_at = now
+        backend.errors = ERROR_DECAY * backend.errors
+        backend.trial = False
+        # An answer adds a token in slow start. The load is that of all ingresses: each sends one more for
+        # one that is served.
+        in_flight = event.load.get("inflight", 0.0)
+        if in_flight <= SLOW_START_QUEUE_LIMIT and self.fleet.slow_start_capacity(now, backend) < 1.0:
+            backend.tokens = min(SLOW_START_BURST, backend.tokens + 1.0)
+        self.latency[name] += LATENCY_STEP * (event.elapsed - self.latency[name])
+        is_overloaded = self.limit.latency_ratio >= OVERLOAD_LATENCY_RATIO  # overload is never usual
+        step = OVERLOADED_BASE_STEP if is_overloaded else BASE_STEP
+        usual = self.base[name] + step * (self.latency[name] - self.base[name])
+        self.base[name] = min(usual, MAX_BASE_LATENCY_RATIO * self.classes[name].objective)
+
+    def _learn_fault(self, now: float, backend: Backend) -> None:
+        """A backend has failed: eject it if that is frequent, or if it was on trial."""
+        backend.errors += ERROR_STEP * (1 - backend.errors)
+        if backend.trial or backend.errors >= BAD_SHARE:
+            self.acts += self.fleet.eject(now, backend, "failing")
 
     def listed(self, now: float, event: io.ListUpdate) -> None:
         """Apply a backend list; the first one sets the initial concurrency limit."""
--- a/simulation/capacity/agreement.py
+++ b/simulation/capacity/agreement.py
@@ -218,10 +218,10 @@
     for mark in (m for m in CUT_MARKS if m <= seconds):
         fleet.simulator.run(began + mark)
         before = _note_span(found, fleet, before, mark)
-    for name in fleet.region_names():
-        found.append(
-            Sample(CUT_AXIS, seconds, f"{name}: orders taken", "orders", (float(takes_orders(fleet, name)),))
-        )
+    found += [
+        Sample(CUT_AXIS, seconds, f"{name}: orders taken", "orders", (float(takes_orders(fleet, name)),))
+        for name in fleet.region_names()
+    ]
     fleet.cut((0,), (1,), False)
     healed = fleet.simulator.now
     same = fleet.until(lambda: len({i.proxy_node.version for i in fleet.ingresses()}) == 1, heal_s, FINE_S)
@@ -263,8 +263,10 @@
 
 
 def takes_orders(fleet: Fleet, region: str) -> bool:
-    """Whether an operator who calls the controllers of a region has a change acknowledged; a 307 is followed
-    where its leader can be reached from there."""
+    """Whether an operator who calls the controllers of a region has a change acknowledged.
+
+    A 307 is followed where its leader can be reached from there.
+    """
     for controller in fleet.controllers():
         if fleet.region_name(controller.place.zone) != region:
             continue
--- a/simulation/capacity/budget.py
+++ b/simulation/capacity/budget.py
@@ -51,8 +51,10 @@
         return self.ratio <= 1.0
 
     def fails_at(self) -> tuple[str, float] | None:
-        """The axis that weighs most, and the size along it at which the budget is used up; None if no axis
-        makes it grow. The other axes stay at the size to design for."""
+        """The axis that weighs most, and the size along it at which the budget is used up.
+
+        None if no axis makes it grow. The other axes stay at the size to design for.
+        """
         growing = [p for p in self.estimate.parts if p.added > 0 and p.wanted > p.measured]
         if not growing:
             return None
--- a/simulation/capacity/figures.py
+++ b/simulation/capacity/figures.py
@@ -126,8 +126,10 @@
         return Estimate(sum(part.added for part in parts), tuple(parts))
 
     def _added(self, axis: str, figure: str, measured: float, wanted: float) -> float:
-        """How much a figure grows along an axis: as measured at the size to design for, else by its line,
-        where one explains what was measured."""
+        """How much a figure grows along an axis.
+
+        As measured at the size to design for, else by its line, where one explains what was measured.
+        """
         points = self.series(axis, figure)
         line = self.line(axis, figure)
         if points[-1].size >= wanted:
@@ -145,8 +147,11 @@
         return scaled(self.both_ways(role, TOTAL, "messages"), cost)
 
     def _axes(self, role: str, plane: str) -> list[tuple[str, float, float, float]]:
-        """The other axes that a plane's work follows: size of the usual fleet, the one to design for, and by
-        what both are multiplied to be sizes of that axis. Requests are an ingress's own, or all of them."""
+        """The other axes that a plane's work follows.
+
+        Size of the usual fleet, the one to design for, and by what both are multiplied to be sizes of that
+        axis. Requests are an ingress's own, or all of them.
+        """
         one = role == INGRESS
         usual = USUAL.requests * (1 if one else design.INGRESSES)
         wanted = design.REQUESTS_PER_INGRESS if one else float(design.REQUESTS_PER_S)
--- a/simulation/capacity/fit.py
+++ b/simulation/capacity/fit.py
@@ -17,8 +17,10 @@
 
 
 class Line(NamedTuple):
-    """A straight line by least squares: `base` at size 0, `slope` for each unit of size. `certainty` is the
-    part of the values' variance that it explains (R squared)."""
+    """A straight line by least squares: `base` at size 0, `slope` for each unit of size.
+
+    `certainty` is the part of the values' variance that it explains (R squared).
+    """
 
     base: float
     slope: float
--- a/simulation/capacity/fleet.py
+++ b/simulation/capacity/fleet.py
@@ -38,9 +38,11 @@
 
 @dataclass(frozen=True)
 class FleetSize:
-    """How large a hollow fleet is. `requests` are charges a second at each ingress; `members` says how many
-    controllers stand in each zone, `regions` which region each zone is in, and `region_delay_s` is one way
-    between zones of unlike regions."""
+    """How large a hollow fleet is.
+
+    `requests` are charges a second at each ingress; `members` says how many controllers stand in each zone,
+    `regions` which region each zone is in, and `region_delay_s` is one way between zones of unlike regions.
+    """
 
     ingresses: int = 30
     members: tuple[int, ...] = (2, 1, 1, 1, 1, 1)
--- a/simulation/capacity/meter.py
+++ b/simulation/capacity/meter.py
@@ -152,8 +152,10 @@
         self.counts.bytes[flow] += wire_bytes(size)
 
     def _link(self, to: Address) -> bool:
-        """Whether there is a TCP link to a process, or may be: a program opens at most
-        `MAX_OUTBOUND_LINKS`, and loses what would need another."""
+        """Whether there is a TCP link to a process, or may be.
+
+        A program opens at most `MAX_OUTBOUND_LINKS`, and loses what would need another.
+        """
         now = self.process.simulator.now
         links = self.counts.links
         for address in [a for a, used in links.items() if a != to and now - used > OUTBOUND_IDLE_S]:
--- a/simulation/capacity/restarts.py
+++ b/simulation/capacity/restarts.py
@@ -88,8 +88,10 @@
 
 
 def restart(fleet: Fleet, machines: Sequence[Machine]) -> float:
-    """Kill machines and start them again; seconds from their start until all ingresses are ready. -1 if some
-    are not within the time."""
+    """Kill machines and start them again; seconds from their start until all ingresses are ready.
+
+    -1 if some are not within the time.
+    """
     _reset(fleet)
     for machine in machines:
         machine.kill()
--- a/simulation/checkers/budgets.py
+++ b/simulation/checkers/budgets.py
@@ -43,8 +43,10 @@
 
 
 def limit_of(history: RunHistory, tenant: str, begins: float, ends: float) -> float | None:
-    """The most requests of a tenant that may run in a window, None if there is no limit: by the highest of
-    the limits that may still have been in force anywhere."""
+    """The most requests of a tenant that may run in a window, None if there is no limit.
+
+    By the highest of the limits that may still have been in force anywhere.
+    """
     b = history.bounds
     since = begins - b.quota_window_s - b.apply_s
     late = [
--- a/simulation/checkers/history.py
+++ b/simulation/checkers/history.py
@@ -107,8 +107,10 @@
         return [ConfigVersion(o) for o in orders]
 
     def in_force(self, since: float, until: float) -> list[ConfigVersion]:
-        """Versions that may be in force for a request: the newest one acknowledged by `since`, and those of
-        higher generations that were sent by `until`."""
+        """Versions that may be in force for a request.
+
+        The newest one acknowledged by `since`, and those of higher generations that were sent by `until`.
+        """
         known = [v for v in self.versions if v.order.status == 200 and v.order.at <= since]
         newest = known[-1].generation if known else 0
         return [v for v in self.versions if v.generation >= newest and v.order.sent <= until]
--- a/simulation/hunt.py
+++ b/simulation/hunt.py
@@ -85,8 +85,11 @@
 def shrink(
     found: HuntResult, rule: str = "", most: int = 300, tell: Callable[[Spec], Any] = lambda spec: None
 ) -> HuntResult:
-    """Shrink a day to a shorter one that violates the same rule: disruptions are removed, made shorter and
-    moved to round times. At most `most` days are simulated; `tell` is called with each improvement."""
+    """Shrink a day to a shorter one that violates the same rule.
+
+    Disruptions are removed, made shorter and moved to round times. At most `most` days are simulated; `tell`
+    is called with each improvement.
+    """
     rule = rule or found.broken[0].rule
     best = found
     left = [most]
--- a/simulation/injected_bug_cases.py
+++ b/simulation/injected_bug_cases.py
@@ -84,8 +84,11 @@
 
 
 def calls(injected_bug: str = "") -> Spec:
-    """A day on which responses are lost, duplicated, late, truncated and corrupted, while backends close
-    connections that have just become idle, exit, and leave their addresses to others."""
+    """A day on which responses are lost, duplicated, late, truncated and corrupted.
+
+    Meanwhile backends close connections that have just become idle, exit, and leave their addresses to
+    others.
+    """
     services = tuple(replace(s, idle_s=0.4, closes=0.1) for s in SMALL.services)
     kinds = ("answer_double", "answer_late", "garble", "answer_lost", "answer_short") + 2 * ("srv_crash",)
     which = [(kind, 40 * n + turn) for turn in range(3) for n, kind in enumerate(kinds)]
--- a/simulation/loopback/driver.py
+++ b/simulation/loopback/driver.py
@@ -44,8 +44,11 @@
 
 
 def alike(spec: Spec) -> Spec:
-    """The day as it can be played over loopback: a service's requests are all the same work, backends are the
-    same, and nothing is added to loopback's own delays. The model plays this one too."""
+    """The day as it can be played over loopback.
+
+    A service's requests are all the same work, backends are the same, and nothing is added to loopback's own
+    delays. The model plays this one too.
+    """
     works = {s.name: _work(spec, s.name) for s in spec.services}
     kinds = tuple(replace(k, work_s=works[k.service], also="") for k in spec.kinds)
     services = tuple(replace(s, spread=0.0, cold_s=0.0, queue=4) for s in spec.services)
@@ -140,6 +143,7 @@
             await asyncio.sleep(1.0)
 
     async def look_at(self, machine: LocalMachine) -> None:
+        """Restart a machine that has ended by itself, and ask for its readiness."""
         if machine.ended() and machine.name not in self.held:
             machine.start()
         answer = await http_clients.call(machine.address("ready"), "GET", "/-/readiness", {}, b"", 0.9)
@@ -281,6 +285,7 @@
         await actions_by_kind[t.kind]()
 
     def note(self, t: Disruption, machines: list[LocalMachine], lasts: float, planned: bool = False) -> None:
+        """Record a disruption with the machines that it hits."""
         names = tuple(h.name for h in machines)
         self.record.disruptions.append(
             RecordedDisruption(
@@ -295,6 +300,7 @@
         )
 
     async def kill(self, machines: list[LocalMachine], t: Disruption) -> None:
+        """Kill machines, and start them again."""
         for machine in machines:
             self.held.add(machine.name)
             machine.signal(signal.SIGKILL)
@@ -305,12 +311,14 @@
             machine.start()
 
     async def freeze(self, machine: LocalMachine, t: Disruption) -> None:
+        """Suspend a machine's processes for a while."""
         machine.signal(signal.SIGSTOP)
         self.note(t, [machine], t.lasts)
         await asyncio.sleep(t.lasts)
         machine.signal(signal.SIGCONT)
 
     async def end(self, machine: LocalMachine, t: Disruption) -> None:
+        """Stop a machine in order, and start it again."""
         self.held.add(machine.name)
         machine.signal(signal.SIGTERM)
         self.note(t, [machine], self.spec.bounds.grace_s + 0.5, planned=True)
@@ -321,6 +329,7 @@
         machine.start()
 
     async def crash(self, t: Disruption) -> None:
+        """Kill a backend; another one starts after a while."""
         alive = [(n, s, p) for n, s, p in self.cluster.backends if p.poll() is None]
         _, service, process = alive[t.which % len(alive)]
         process.kill()
@@ -328,6 +337,7 @@
         self.cluster.launch(service, _work(self.spec, service.name))
 
     async def scale_in(self, t: Disruption) -> None:
+        """Stop a quarter of a service's backends."""
         service = self.spec.services[t.which % len(self.spec.services)]
         alive = [p for _, s, p in self.cluster.backends if p.poll() is None and s.name == service.name]
         for process in alive[: max(1, len(alive) // 4)]:
@@ -335,6 +345,7 @@
             await asyncio.sleep(0.3)
 
     async def press(self, t: Disruption) -> None:
+        """Raise one tenant's load for a while."""
         tenant = t.which % len(self.tenants)
         self.note(t, [], t.lasts)
         factor = (1.0 + 6.0 * t.much) * self.tenants[tenant]
@@ -342,6 +353,7 @@
             self.do(self.come(kind, factor, tenant, self.now() + t.lasts))
 
     async def change(self) -> None:
+        """Make one configuration change."""
         document = self.operator_pool.next(self.operator_pool.newest)
         self.operator_pool._add(document["resource-list"])
         await self.order(document)
--- a/simulation/loopback/local_cluster.py
+++ b/simulation/loopback/local_cluster.py
@@ -54,8 +54,11 @@
 
 
 class LocalCluster:
-    """All machines and backends. `port` is the first of the ports that each machine's address uses;
-    `recordings` a folder for recordings of the programs, or None."""
+    """All machines and backends.
+
+    `port` is the first of the ports that each machine's address uses; `recordings` a folder for recordings of
+    the programs, or None.
+    """
 
     def __init__(self, spec: Spec, folder: Path, port: int, recordings: Path | None = None) -> None:
         self.spec = spec
@@ -107,8 +110,7 @@
         if self.recordings is not None:
             environ["PROVING_RECORDINGS"] = str(self.recordings)
         module = "gateway" if self.recordings is None else "simulation.recorded_program"
-        log = open(self.folder / f"{machine.name}-{role}.log", "ab")
-        with log:
+        with open(self.folder / f"{machine.name}-{role}.log", "ab") as log:
             return subprocess.Popen(
                 [sys.executable, "-m", module, role],
                 cwd=ROOT,
--- a/simulation/measurements.py
+++ b/simulation/measurements.py
@@ -80,8 +80,10 @@
 
 
 def earns(kind: Kind, tries: list[Sent], record: Record) -> float:
-    """The worth that a served request earns: less if it was late, and the mean of both if it was refused
-    early and its last try was in time."""
+    """The worth that a served request earns.
+
+    Less if it was late, and the mean of both if it was refused early and its last try was in time.
+    """
     begun = record.answered[tries[0].attempt]
     ended = record.answered[tries[-1].attempt].at
     if ended <= tries[0].at + kind.aim_s:
@@ -102,8 +104,10 @@
 
 
 def unserved(record: Record) -> tuple[int, int]:
-    """The number of requests that were refused at last, and of those that failed in other ways, perhaps
-    because there was no ingress to send them to."""
+    """The number of requests that were refused at last, and of those that failed in other ways.
+
+    The latter perhaps because there was no ingress to send them to.
+    """
     lasts = [record.answered.get(tries[-1].attempt) for tries in tries_of(record)]
     refused = sum(last is not None and last.status in (429, 503) for last in lasts)
     under_way = sum(last is None for last in lasts)
@@ -135,8 +139,10 @@
 
 
 def spread(record: Record) -> list[float]:
-    """For each configuration change, the seconds from its acknowledgement until the last ingress has adopted
-    it; changes that were superseded before aren't counted."""
+    """For each configuration change, the seconds from its acknowledgement until the last ingress has it.
+
+    Changes that were superseded before aren't counted.
+    """
     found = []
     orders = [o for o in record.orders if o.status == 200]
     for order, after in zip(orders, [*orders[1:], None], strict=True):
--- a/simulation/model/backends.py
+++ b/simulation/model/backends.py
@@ -122,6 +122,7 @@
         self.simulator.after(self.rng.uniform(0.0, 0.3), self.beat)
 
     def tell(self, what: str, by: str) -> None:
+        """Record an event of this backend's registration."""
         self.deployment.record.backend_events.append(
             BackendEvent(self.simulator.now, what, self.id, self.service.name, self.address, by)
         )
@@ -133,6 +134,7 @@
         self.call("PUT", self.on_heartbeat_response)
 
     def on_heartbeat_response(self, status: int, by: str, body: bytes) -> None:
+        """A heartbeat was answered: schedule the next one."""
         if 200 <= status < 300:
             self.simulator.after(self.deployment.spec.beat_s * self.rng.uniform(0.95, 1.05), self.beat)
             target = json.loads(body or b"{}").get("beat-target")
@@ -259,12 +261,14 @@
         return work
 
     def note(self, work: BackendRequest, ran: bool, why: str = "") -> None:
+        """Record a request that has arrived, and whether it runs."""
         tenant = work.fields.get(b"tenant", b"").decode()
         self.deployment.record.arrived.append(
             Arrived(self.simulator.now, work.attempt, self.id, self.service.name, tenant, work.path, ran, why)
         )
 
     def reject(self, work: BackendRequest, status: int, why: str) -> None:
+        """Reject a request without running it."""
         self.note(work, False, why)
         work.done(
             Response(
@@ -322,6 +326,7 @@
             self.proceed()
 
     def load(self) -> dict[bytes, bytes]:
+        """The header that reports this backend's load."""
         if not self.service.tells_load:
             return {}
         return {b"backend-load": b"%d,%d,%d" % (self.running, len(self.queue), self.service.capacity)}
@@ -343,20 +348,24 @@
         """Nothing is said before a request."""
 
     def eof_received(self) -> bool:
+        """The client has ended its sending: close."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The client has closed the connection: drop its work."""
         self.backend.connections -= 1
         self.backend.ends.pop(self.end, None)
         if self.work is not None and not self.work.over:
             self.backend.drop(self.work)
 
     def data_received(self, data: bytes) -> None:
+        """A part of a request has arrived."""
         self.buffer += data
         if not self.busy:
             self.proceed()
 
     def proceed(self) -> None:
+        """Handle the next complete request in the buffer."""
         head, found, rest = self.buffer.partition(b"\r\n\r\n")
         if not found or self.backend.ended:
             if self.backend.ended:
--- a/simulation/model/client_attempts.py
+++ b/simulation/model/client_attempts.py
@@ -92,6 +92,7 @@
         """Requests are written as they come up."""
 
     def data_received(self, data: bytes) -> None:
+        """A part of a response has arrived."""
         answers = self.reader.feed(data)
         if self.current is None:
             if answers or self.reader.partial or self.reader.broken:
@@ -121,9 +122,11 @@
             self.owner.record.faults.append(f"MIXED: a success on an idle connection at {self.machine.name}")
 
     def eof_received(self) -> bool:
+        """The server has ended its sending: close."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The server has closed the connection."""
         self.open = False
         if self.owner.idle.get(self.slot) is self:
             del self.owner.idle[self.slot]
@@ -132,6 +135,7 @@
             current.end(0, 0.0, "", current.was_read())
 
     def drop(self) -> None:
+        """Close the connection; it isn't used again."""
         self.open = False
         if self.owner.idle.get(self.slot) is self:
             del self.owner.idle[self.slot]
@@ -165,6 +169,7 @@
             self.owner.over(self.request, self.attempt, self.machine, status, after, fault, read)
 
     def begin(self) -> None:
+        """Use an idle connection, or open one."""
         r = self.request
         slot = (r.zone, r.hashed)
         self.simulator.at(r.ends, self.give_up)
@@ -179,12 +184,14 @@
         connect(self.network, self.place, None, self.machine.place, True, None, self.accept, self.made)
 
     def accept(self, end: TcpEndpoint) -> bool | None:
+        """Whether the server takes the connection; None if nothing answers."""
         process = self.process()
         if process is None:
             return False if self.machine.power else None
         return process.server.accept(process, end)
 
     def made(self, end: TcpEndpoint | None) -> None:
+        """The connection is established; None if it was refused."""
         if end is None:
             self.end(0, 0.0, "", False)
             return
@@ -197,10 +204,12 @@
         self.write()
 
     def no_connection(self) -> None:
+        """The connection wasn't established in time."""
         if not self.connection.open and self.connection.end is None:
             self.end(0, 0.0, "no connection", False)
 
     def write(self) -> None:
+        """Send the request."""
         r = self.request
         connection = self.connection
         assert connection.end is not None
--- a/simulation/model/deployment.py
+++ b/simulation/model/deployment.py
@@ -220,8 +220,10 @@
         done: Answer,
         hops: int = 2,
     ) -> None:
-        """Call `control` at an address: `done(status, machine, body)`, with status 0 for silence or a broken
-        call. A 307 is followed twice."""
+        """Call `control` at an address.
+
+        `done(status, machine, body)`, with status 0 for silence or a broken call. A 307 is followed twice.
+        """
         simulator = self.simulator
         network = self.network
         machine = self.by_ip.get((address or "").partition(":")[0])
--- a/simulation/model/disk.py
+++ b/simulation/model/disk.py
@@ -14,8 +14,11 @@
 
 
 class Disk:
-    """Holds one record. `sync_s` is the time that a save takes; it `fails` when it is full, and while it is
-    `hung` nothing gets done."""
+    """Holds one record.
+
+    `sync_s` is the time that a save takes; it `fails` when it is full, and while it is `hung` nothing gets
+    done.
+    """
 
     def __init__(self, sync_s: float) -> None:
         self.usual = self.sync_s = sync_s
--- a/simulation/model/disruptions/machine_disruptions.py
+++ b/simulation/model/disruptions/machine_disruptions.py
@@ -106,8 +106,10 @@
         self.note(t, [machine], lasts=lasts, planned=True)
 
     def do_roll_out(self, t: Disruption) -> None:
-        """All machines are stopped in order and started again, one after the other; `lasts` is the time from
-        one to the next."""
+        """All machines are stopped in order and started again, one after the other.
+
+        `lasts` is the time from one to the next.
+        """
         for n, machine in enumerate(self.machines()):
             self.simulator.after(n * t.lasts, self._stop, t, machine)
 
@@ -141,8 +143,10 @@
         self.note(t, [old, new], core=True, lasts=t.lasts, planned=in_order)
 
     def do_planned_core(self, t: Disruption) -> None:
-        """A machine of the core is replaced as planned: another comes, and it is stopped in order `lasts`
-        seconds later."""
+        """A machine of the core is replaced as planned.
+
+        Another comes, and it is stopped in order `lasts` seconds later.
+        """
         old = self.one(t, self.core())
         new = self.deployment.add(old.place.zone, old.roles)
         new.start()
--- a/simulation/model/disruptions/operators_and_backends.py
+++ b/simulation/model/disruptions/operators_and_backends.py
@@ -24,8 +24,10 @@
         self.operator_pool.race()
 
     def do_config_crowd(self, t: Disruption) -> None:
-        """Up to eight orders are under way, again and again; a part of the answers gets lost, and orders that
-        were acknowledged are sent again."""
+        """Up to eight orders are under way, again and again.
+
+        A part of the answers gets lost, and orders that were acknowledged are sent again.
+        """
         self.operator_pool.deaf = DEAF
         for n in range(int(t.lasts / CROWD_EVERY_S)):
             self.simulator.after(n * CROWD_EVERY_S, self._crowd)
--- a/simulation/model/disruptions/schedule.py
+++ b/simulation/model/disruptions/schedule.py
@@ -39,6 +39,7 @@
         """An order has its answer."""
 
     def start_disruption(self, disruption: Disruption) -> None:
+        """Begin a disruption, by the method of its kind."""
         getattr(self, f"do_{disruption.kind}")(disruption)
 
     def note(
@@ -69,10 +70,13 @@
     # Who.
 
     def machines(self) -> list[Machine]:
+        """All machines that haven't been removed."""
         return [m for m in self.deployment.machines.values() if not m.removed]
 
     def core(self) -> list[Machine]:
+        """The machines of the core."""
         return [m for m in self.machines() if m.core]
 
     def one(self, disruption: Disruption, among: Sequence[Any]) -> Any:
+        """The item that a disruption picks; None if there is none."""
         return among[disruption.which % len(among)] if among else None
--- a/simulation/model/network.py
+++ b/simulation/model/network.py
@@ -22,8 +22,10 @@
 
 
 class LinkProfile(NamedTuple):
-    """One-way delays in seconds, their spread (a part of them), the chance that a datagram is lost or comes
-    twice, and the bytes a second of a machine's link."""
+    """One-way delays in seconds, and their spread (a part of them).
+
+    Also the chance that a datagram is lost or comes twice, and the bytes a second of a machine's link.
+    """
 
     within: float = 0.0003
     between: float = 0.0014
--- a/simulation/model/operators.py
+++ b/simulation/model/operators.py
@@ -155,8 +155,10 @@
     def send(
         self, method: str, body: bytes, clear: Callable[[int, str], None], unheard: Callable[[], None]
     ) -> None:
-        """Call one process after the other until there is a clear answer; `unheard`: an acknowledgement that
-        was lost on its way."""
+        """Call one process after the other until there is a clear answer.
+
+        `unheard`: an acknowledgement that was lost on its way.
+        """
         wait = 0.1
         tries = 0
 
@@ -268,9 +270,11 @@
         return document
 
     def change(self, how: str, who: int = 0, another: bool = True) -> None:
-        """Change something: `add` or `remove` a route, `move` one to another service, `keys` of a tenant,
-        `limit` of a tenant, `big` for many routes, `invalid`. Without `another` it has the newest number, as
-        another change may."""
+        """Change something.
+
+        `add` or `remove` a route, `move` one to another service, `keys` of a tenant, `limit` of a tenant,
+        `big` for many routes, `invalid`. Without `another` it has the newest number, as another change may.
+        """
         if not self.newest:
             return
         document = self.next(self.newest, another)
--- a/simulation/model/processes.py
+++ b/simulation/model/processes.py
@@ -183,6 +183,7 @@
         }
 
     def ticked(self) -> None:
+        """Time has passed."""
         self.controller_node.tick(self.time())
 
     def write(self, token: int, record: PersistentState) -> None:
@@ -195,6 +196,7 @@
         )
 
     def seeds(self, addresses: tuple[Address, ...]) -> None:
+        """The settings have other seeds."""
         self.controller_node.set_seeds(addresses)
 
     def answer(self, http_call: HttpCall, reply: Callable[[int, bytes, bytes], None]) -> None:
@@ -205,6 +207,7 @@
             self.fault(error)
 
     def stop(self, grace_s: float) -> None:
+        """Shut down in order, within `grace_s` seconds."""
         super().stop(grace_s)
         until = self.simulator.now + 0.5 * grace_s
 
@@ -247,9 +250,11 @@
         }
 
     def ticked(self) -> None:
+        """Time has passed."""
         self.proxy_node.handle_membership(TICK)
 
     def seeds(self, addresses: tuple[Address, ...]) -> None:
+        """The settings have other seeds."""
         self.proxy_node.set_seeds(addresses)
 
     def limit(self, limits: Limits) -> None:
@@ -269,10 +274,12 @@
         return self.proxy_node.ready()
 
     def stop(self, grace_s: float) -> None:
+        """Shut down in order, within `grace_s` seconds."""
         super().stop(grace_s)
         self.enter(self.leave)
 
     def leave(self) -> None:
+        """Finish open requests, then end."""
         self.proxy_node.leaving = True
         task = self.create_task(self.finish())
         task.add_done_callback(lambda _: self.machine.end(self))
--- a/simulation/model/proxy_sockets.py
+++ b/simulation/model/proxy_sockets.py
@@ -55,6 +55,7 @@
         self.environment = environment
 
     async def connect(self, pool: Pool) -> real.Connection:
+        """Open a simulated connection to a backend."""
         process = self.process
         environment = self.environment
         ip, port = pool.endpoint.address
@@ -97,6 +98,7 @@
     """A client's connection; what has come and isn't read is known without a descriptor."""
 
     def unread(self) -> bool:
+        """Whether bytes have arrived that haven't been read."""
         end = cast(TcpEndpoint, self.transport)
         return bool(end.pending or end.held)
 
@@ -110,6 +112,7 @@
         self.open = True
 
     def close(self) -> None:
+        """Make no more connections."""
         self.open = False
 
 
--- a/simulation/model/simulation_run.py
+++ b/simulation/model/simulation_run.py
@@ -28,6 +28,7 @@
         self.record = record
 
     def emit(self, entry: logging.LogRecord) -> None:
+        """Record a log line of the code under test as a fault."""
         if len(self.record.faults) < MOST_FAULTS and entry.name.partition(".")[0] in ("gateway", "ingress"):
             why = f": {entry.exc_info[1]!r}" if entry.exc_info else ""
             self.record.faults.append(
--- a/simulation/model/simulator.py
+++ b/simulation/model/simulator.py
@@ -129,6 +129,7 @@
         self.act(call, args)
 
     def act(self, call: Call, args: tuple[Any, ...]) -> None:
+        """Make a call, and account for its processor time."""
         if self.cost:
             spent = self.cost / self.speed
             self.used += self.cost
@@ -136,6 +137,7 @@
         call(*args)
 
     def wake(self) -> None:
+        """Continue once the processor is free."""
         if not self.woken and not self.frozen and not self.ended:
             self.woken = True
             self.simulator.at(self.busy, self.go_on)
@@ -172,17 +174,21 @@
         return self.offset + self.simulator.now * self.rate
 
     def call_at(self, when: float, callback: Call, *args: Any, context: Any = None) -> Any:
+        """Schedule a callback at a time of this process's clock."""
         handle = Handle(when, callback, args)
         self.simulator.at((when - self.offset) / self.rate, self.enter, self.fire, handle)
         return handle
 
     def call_later(self, delay: float, callback: Call, *args: Any, context: Any = None) -> Any:
+        """Schedule a callback after a delay in seconds."""
         return self.call_at(self.time() + delay, callback, *args)
 
     def call_soon(self, callback: Call, *args: Any, context: Any = None) -> Any:
+        """Schedule a callback as soon as possible."""
         return self.call_at(self.time(), callback, *args)
 
     def fire(self, handle: Handle) -> None:
+        """A timer is due: call it, unless it was cancelled."""
         call = handle.call
         args = handle.args
         if call is None:
@@ -197,21 +203,27 @@
             asyncio._set_running_loop(None)
 
     def create_future(self) -> asyncio.Future[Any]:
+        """A future of this loop."""
         return asyncio.Future(loop=self.loop)
 
     def create_task(self, coro: Coroutine[Any, Any, Any], **_: Any) -> asyncio.Task[Any]:
+        """Run a coroutine as a task of this loop."""
         return asyncio.Task(coro, loop=self.loop)
 
     def get_debug(self) -> bool:
+        """Part of asyncio's interface: never in debug mode."""
         return False
 
     def is_running(self) -> bool:
+        """Part of asyncio's interface: whether the process runs."""
         return not self.ended
 
     def is_closed(self) -> bool:
+        """Part of asyncio's interface: whether the process has ended."""
         return self.ended
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
+        """Record an exception of a callback as a fault."""
         if not self.ended:
             self.fault(context.get("exception") or RuntimeError(str(context.get("message"))))
 
--- a/simulation/model/tcp.py
+++ b/simulation/model/tcp.py
@@ -13,13 +13,17 @@
 class StreamProtocol(Protocol):
     """What is at an end: as asyncio's protocols."""
 
-    def connection_made(self, transport: Any) -> None: ...
+    def connection_made(self, transport: Any) -> None:
+        """The connection is established."""
 
-    def data_received(self, data: bytes) -> None: ...
+    def data_received(self, data: bytes) -> None:
+        """Bytes have arrived."""
 
-    def eof_received(self) -> Any: ...
+    def eof_received(self) -> Any:
+        """The other side has ended its sending."""
 
-    def connection_lost(self, exc: Exception | None) -> None: ...
+    def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
 
 
 DATA = 0
@@ -81,20 +85,24 @@
     # As a transport.
 
     def write(self, data: bytes) -> None:
+        """Send bytes."""
         if not self.closed and data:
             self.push(DATA, bytes(data))
 
     def write_eof(self) -> None:
+        """End the sending."""
         if not self.closed:
             self.push(EOF, b"")
 
     def close(self) -> None:
+        """Close; with unread bytes the other side gets a reset."""
         if not self.closed:
             self.closed = True
             self.push(RESET if self.pending or self.held else EOF, b"")
             self.tell(None)
 
     def abort(self) -> None:
+        """Close with a reset."""
         if not self.closed:
             self.closed = True
             self.waiting.clear()
@@ -102,18 +110,23 @@
             self.tell(None)
 
     def is_closing(self) -> bool:
+        """Whether this side has closed."""
         return self.closed
 
     def get_write_buffer_size(self) -> int:
+        """Part of a transport's interface: writes are never buffered here."""
         return 0
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
+        """Part of a transport's interface: this is its own socket."""
         return self
 
     def pause_reading(self) -> None:
+        """Keep what arrives from now on."""
         self.paused = True
 
     def resume_reading(self) -> None:
+        """Pass on what was kept, and what arrives."""
         self.paused = False
         while self.held and not self.paused:
             self.give(*self.held.popleft())
@@ -121,6 +134,7 @@
     # As a socket.
 
     def fileno(self) -> int:
+        """Part of a socket's interface: there is no descriptor."""
         raise OSError("no descriptor in the model")
 
     def shutdown(self, how: int) -> None:
@@ -146,6 +160,7 @@
             self.pump()
 
     def pump(self) -> None:
+        """Send what is queued, as far as the network allows."""
         network = self.network
         simulator = self.network.simulator
         while self.waiting:
@@ -195,6 +210,7 @@
             self.process.enter(self.taken, kind, data)
 
     def taken(self, kind: int, data: bytes) -> None:
+        """A part of what the other side sent has arrived."""
         self.pending -= 1
         try:
             self.take(kind, data)
@@ -204,6 +220,7 @@
             self.process.fault(error)
 
     def take(self, kind: int, data: bytes) -> None:
+        """Something has arrived: pass it on, unless reading is paused."""
         if self.paused and kind != RESET:
             self.held.append((kind, data))
         else:
@@ -255,8 +272,11 @@
     accept: Callable[[TcpEndpoint], bool | None],
     made: Callable[[TcpEndpoint | None], Any],
 ) -> None:
-    """Open a connection. `accept(end)` is asked at the other side: True if it takes it (it sets the end's
-    taker), False for a refusal, None for silence. `made(end)` is called here, with None for a refusal."""
+    """Open a connection.
+
+    `accept(end)` is asked at the other side: True if it takes it (it sets the end's taker), False for a
+    refusal, None for silence. `made(end)` is called here, with None for a refusal.
+    """
     simulator = network.simulator
     mine = TcpEndpoint(network, place, process, client, patience)
     theirs = TcpEndpoint(network, target, None, False, None)
--- a/simulation/spec.py
+++ b/simulation/spec.py
@@ -53,8 +53,11 @@
 
 @dataclass(frozen=True)
 class Tenants:
-    """The tenants: their number, Zipf's exponent of their rates, and `headroom`, the allowance of each as a
-    multiple of its usual rate. Without `limited` none has a limit."""
+    """The tenants.
+
+    Their number, Zipf's exponent of their rates, and `headroom`, the allowance of each as a multiple of its
+    usual rate. Without `limited` none has a limit.
+    """
 
     count: int = 8
     uneven: float = 0.9
@@ -117,7 +120,9 @@
 @dataclass(frozen=True)
 class Day:
     """A simulated day: its length, when traffic begins, if there is any, and `load`, a factor on all rates.
-    The closing fault, a kind of disruption, begins at `closing` seconds (0: there is none)."""
+
+    The closing fault, a kind of disruption, begins at `closing` seconds (0: there is none).
+    """
 
     seconds: float = 45.0
     warm: float = 10.0
@@ -149,10 +154,10 @@
     injected_bug: str = ""  # name of a bug injected into the system, which the checkers must find
     services: tuple[Service, ...] = (Service(),)
     kinds: tuple[Kind, ...] = (Kind(),)
-    tenants: Tenants = Tenants()
-    links: Links = Links()
-    bounds: Bounds = Bounds()
-    day: Day = Day()
+    tenants: Tenants = field(default_factory=Tenants)
+    links: Links = field(default_factory=Links)
+    bounds: Bounds = field(default_factory=Bounds)
+    day: Day = field(default_factory=Day)
     disruptions: tuple[Disruption, ...] = ()
 
 
--- a/tests/ingress/test_console.py
+++ b/tests/ingress/test_console.py
@@ -8,7 +8,8 @@
 
 from ingress import interface as io
 from ingress.net import console as door
-from ingress.net.console import CommandRefused, Console, ConsoleCommand
+from ingress.net.console import Console, ConsoleCommand
+from ingress.net.errors import CommandRejectedError
 from tests.ingress.socket_rig import HOST, IngressRig, Peer, call, in_turn, ok, run, until
 
 
@@ -28,7 +29,7 @@
 
     def cordon(self, backend: str) -> list[str]:
         if backend != "b1":
-            raise CommandRefused("no such backend")
+            raise CommandRejectedError("no such backend")
         self.held.append(backend)
         return ["done"]
 
--- a/tests/ingress/test_wirehost.py
+++ b/tests/ingress/test_wirehost.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ingress import interface as io
-from ingress import wirehost
+from ingress import wire_messages, wirehost
 
 BORN = (
     "BORN 3 17 balancers=2 me=1 zone=z0 step=0.002 extra.counter=true extra.counterTimeout=0.08 "
@@ -85,7 +85,7 @@
     assert rec.events == [event]
 
 
-@pytest.mark.parametrize("wire,outcome", sorted(wirehost.OUTCOMES.items()))
+@pytest.mark.parametrize("wire,outcome", sorted(wire_messages.OUTCOMES.items()))
 def test_every_outcome(wire, outcome):
     h, rec = host()
     h.batch(["CLOCK 2", f"RETURNED 3 abc 0 b:1 {wire} 0.02 0 0 0 -"])
@@ -135,7 +135,7 @@
 
 def test_a_stopped_instance_is_forgotten():
     h, _ = host()
-    assert h.batch(["CLOCK 2", "CRASH_NOW 3"]) == [] and not h.gateways
+    assert h.batch(["CLOCK 2", "CRASH_NOW 3"]) == [] and not h.instances
 
 
 def test_a_fault_in_the_decisions_is_declared_on_the_wire():
