--- a/tests/ingress/test_console.py
+++ b/tests/ingress/test_console.py
@@ -98,11 +98,11 @@
 def test_idle_callers_are_capped_and_keep_nobody_waiting():
     async def main():
         d = await ConsoleFixture().start()
-        idle = [await asyncio.open_connection(HOST, d.port) for _ in range(door.MOST)]
-        await until(lambda: len(d.console.callers) == door.MOST)
+        idle = [await asyncio.open_connection(HOST, d.port) for _ in range(door.MAX_CONNECTIONS)]
+        await until(lambda: len(d.console.callers) == door.MAX_CONNECTIONS)
         assert await d.ask(b"health\n") == b"done\n"
         assert await idle[0][0].read() == b""  # the oldest made room
-        assert len(d.console.callers) <= door.MOST
+        assert len(d.console.callers) <= door.MAX_CONNECTIONS
 
     run(main())
 
