--- a/simulation/allowance.py
+++ b/simulation/allowance.py
@@ -40,7 +40,7 @@
     tenant: str
     allowance: float
     remaining: float
-    kept: float
+    reserved: float
     views: int
     differs: float
     beyond: int
@@ -95,7 +95,7 @@
         if "charged" in entry:
             _charged(day, at, entry)
         if "held" in entry:
-            _held(day, at, node, entry, holders)
+            _read_views(day, at, node, entry, holders)
     return day
 
 
@@ -115,9 +115,11 @@
     day.back[step] += entry["back"]
 
 
-def _held(day: Day, at: float, node: str, entry: dict[str, Any], holders: dict[str, str]) -> None:
-    for tenant, (allowance, remaining, kept, views, differs, beyond, oldest) in entry["held"].items():
-        day.views.append(View(at, node, tenant, allowance, remaining, kept, views, differs, beyond, oldest))
+def _read_views(day: Day, at: float, node: str, entry: dict[str, Any], holders: dict[str, str]) -> None:
+    for tenant, (allowance, remaining, reserved, views, differs, beyond, oldest) in entry["held"].items():
+        day.views.append(
+            View(at, node, tenant, allowance, remaining, reserved, views, differs, beyond, oldest)
+        )
         before = holders.get(tenant)
         holders[tenant] = node
         if before not in (None, node):
@@ -145,16 +147,16 @@
         ("tenant", "precedence", "asked", "admitted", "refused early", "in part", *DECISION_LABELS)
     ]
     for (tenant, level), counts in sorted(day.decided.items()):
-        asked = sum(counts)
+        requested = sum(counts)
         admitted = counts[DecisionKind.ADMITTED_BY_OWNER] + counts[DecisionKind.ADMITTED_BY_SHARE]
         rows.append(
             (
                 tenant,
                 f"{level // 2}{' late' if level % 2 else ''}",
-                str(asked),
+                str(requested),
                 str(admitted),
-                str(asked - admitted),
-                f"{1 - admitted / asked:.4f}",
+                str(requested - admitted),
+                f"{1 - admitted / requested:.4f}",
                 *map(str, counts),
             )
         )
@@ -196,7 +198,7 @@
                 f"{max(v.differs for v in own):g}",
                 str(max(v.beyond for v in own)),
                 f"{max(v.oldest for v in own):.1f}",
-                f"{max(v.kept for v in own):g}",
+                f"{max(v.reserved for v in own):g}",
             )
         )
     return rows
--- a/simulation/capacity/agreement.py
+++ b/simulation/capacity/agreement.py
@@ -217,7 +217,7 @@
     began = fleet.simulator.now
     for mark in (m for m in CUT_MARKS if m <= seconds):
         fleet.simulator.run(began + mark)
-        before = _note_span(found, fleet, before, mark)
+        before = _add_span(found, fleet, before, mark)
     found += [
         Sample(CUT_AXIS, seconds, f"{name}: orders taken", "orders", (float(takes_orders(fleet, name)),))
         for name in fleet.region_names()
@@ -230,7 +230,7 @@
     found.append(Sample(CUT_AXIS, seconds, "after the cut: until all are ready", "s", (same + ready,)))
     before = by_region(fleet)
     fleet.simulator.run(healed + heal_s)
-    _note_span(found, fleet, before, seconds + heal_s)
+    _add_span(found, fleet, before, seconds + heal_s)
     return found
 
 
@@ -248,9 +248,7 @@
     return found
 
 
-def _note_span(
-    found: list[Sample], fleet: Fleet, before: dict[str, Region], mark: float
-) -> dict[str, Region]:
+def _add_span(found: list[Sample], fleet: Fleet, before: dict[str, Region], mark: float) -> dict[str, Region]:
     after = by_region(fleet)
     for name, region in after.items():
         parts = [n - b for n, b in zip(region.decided, before[name].decided, strict=True)]
--- a/simulation/capacity/budget.py
+++ b/simulation/capacity/budget.py
@@ -46,7 +46,7 @@
         return self.estimate.value / self.budget
 
     @property
-    def held(self) -> bool:
+    def is_within_budget(self) -> bool:
         """Whether it is within its budget."""
         return self.ratio <= 1.0
 
@@ -78,7 +78,7 @@
     """The lines that aren't held, by their causes, the largest first within and among causes."""
     causes: dict[str, list[BudgetLine]] = {}
     for line in sorted(found, key=lambda each: -each.ratio):
-        if not line.held:
+        if not line.is_within_budget:
             causes.setdefault(line.cause, []).append(line)
     return list(causes.values())[:most]
 
@@ -97,8 +97,8 @@
     yield BudgetLine(
         role, "all", f"{measure} of system calls", unit, core, sockets, mechanism, remedies.CHARGES
     )
-    whole = together([scaled(f.estimate(role, TOTAL, "processor"), 100.0), sockets])
-    yield BudgetLine(role, "all", f"{measure}, steady", unit, core, whole, "all of these", cause)
+    total = together([scaled(f.estimate(role, TOTAL, "processor"), 100.0), sockets])
+    yield BudgetLine(role, "all", f"{measure}, steady", unit, core, total, "all of these", cause)
 
 
 def _ingress(f: Figures) -> Iterator[BudgetLine]:
--- a/simulation/capacity/configuration.py
+++ b/simulation/capacity/configuration.py
@@ -126,12 +126,12 @@
     watch = Stopwatch()
     figures: dict[str, tuple[str, list[float]]] = {}
 
-    def note(figure: str, unit: str, value: float) -> None:
+    def add_sample(figure: str, unit: str, value: float) -> None:
         figures.setdefault(figure, (unit, []))[1].append(value)
 
     for repetition in range(repetitions):
-        _controller(shape, body, watch, note, repetition == 0)
-        _ingress(shape, body, watch, note, repetition == 0)
+        _controller(shape, body, watch, add_sample, repetition == 0)
+        _ingress(shape, body, watch, add_sample, repetition == 0)
     for step, seconds in watch.seconds.items():
         figures[step] = "s", seconds
     return [
@@ -141,7 +141,11 @@
 
 
 def _controller(
-    shape: Shape, body: bytes, watch: Stopwatch, note: Callable[[str, str, float], None], with_memory: bool
+    shape: Shape,
+    body: bytes,
+    watch: Stopwatch,
+    add_sample: Callable[[str, str, float], None],
+    with_memory: bool,
 ) -> None:
     """The leader takes a whole configuration, then a change of one route, then a new key."""
     gc.collect()
@@ -156,9 +160,9 @@
     tenants = {t.label: quota_events.RateLimit(t.rate, t.burst) for t in document.tenants.values()}
     watch.run("controller: allowances", lambda: shard_owner.handle(0.0, quota_events.Allowances(tenants)))
     if with_memory:
-        note("controller: memory", "MB", resident_mb() - before)
-    note("configuration as JSON", "bytes", len(body))
-    note("agreed value", "bytes", len(value))
+        add_sample("controller: memory", "MB", resident_mb() - before)
+    add_sample("configuration as JSON", "bytes", len(body))
+    add_sample("agreed value", "bytes", len(value))
     changes = {
         "one route": documents.route_entry(0, shape.services, CHANGED_DEADLINE_S),
         "one key": documents.tenant_entry(0, random.Random(2), keys=2),
@@ -167,17 +171,21 @@
         order = json.dumps(documents.patch(config_state.generation, entry)).encode()
         changed = watch.run(f"controller: decide {name}", partial(decide, config_state, "PATCH", order))
         after = _present(changed.config_state)
-        told = watch.run(f"controller: encode {name}", after.encode)
+        encoded = watch.run(f"controller: encode {name}", after.encode)
         watch.run(
             f"controller: digests after {name}",
             partial(ExpectedDigests, _present(after.document), expected),
         )
-        note(f"{name} as an order", "bytes", len(order))
-        note(f"{name} as an agreed value", "bytes", len(told))
+        add_sample(f"{name} as an order", "bytes", len(order))
+        add_sample(f"{name} as an agreed value", "bytes", len(encoded))
 
 
 def _ingress(
-    shape: Shape, body: bytes, watch: Stopwatch, note: Callable[[str, str, float], None], with_memory: bool
+    shape: Shape,
+    body: bytes,
+    watch: Stopwatch,
+    add_sample: Callable[[str, str, float], None],
+    with_memory: bool,
 ) -> None:
     """An ingress takes up a configuration, then one with a route changed, then one with a key more."""
     values = _values(shape, body)
@@ -189,7 +197,7 @@
         ingress.apply_config(value, watch, f"ingress, {name}")
         watch.seconds.setdefault(f"ingress: take up {name}", []).append(process_time() - start)
         if with_memory:
-            note(f"ingress: memory after {name}", "MB", resident_mb() - before)
+            add_sample(f"ingress: memory after {name}", "MB", resident_mb() - before)
 
 
 def _values(shape: Shape, body: bytes) -> dict[str, bytes]:
--- a/simulation/capacity/fit.py
+++ b/simulation/capacity/fit.py
@@ -44,8 +44,8 @@
     base, slope = _least_squares(sizes, values, [1.0 / max(size, least) for size in sizes])
     mean = math.fsum(values) / len(values)
     left = math.fsum((base + slope * size - value) ** 2 for size, value in zip(sizes, values, strict=True))
-    whole = math.fsum((value - mean) ** 2 for value in values)
-    return Line(base, slope, max(0.0, 1 - left / whole) if whole else 1.0)
+    total = math.fsum((value - mean) ** 2 for value in values)
+    return Line(base, slope, max(0.0, 1 - left / total) if total else 1.0)
 
 
 def exponent(points: Sequence[Point]) -> float | None:
@@ -67,9 +67,9 @@
     """
     if min(values) == max(values):
         return values[0], 0.0
-    whole = math.fsum(weights)
-    mean_size = math.fsum(map(operator.mul, weights, sizes)) / whole
-    mean_value = math.fsum(map(operator.mul, weights, values)) / whole
+    total = math.fsum(weights)
+    mean_size = math.fsum(map(operator.mul, weights, sizes)) / total
+    mean_value = math.fsum(map(operator.mul, weights, values)) / total
     from_mean = [size - mean_size for size in sizes]
     spread = math.fsum(weight * each**2 for weight, each in zip(weights, from_mean, strict=True))
     together = math.fsum(
--- a/simulation/capacity/former_names.py
+++ b/simulation/capacity/former_names.py
@@ -6,8 +6,8 @@
 
 SOURCES: Final = ("ee3afc8", "f7ff621", "fa42f35", "bdb9bc7", "210b684", "ba41dd5")
 """The commits, oldest first, whose recordings have the former names. All of them lack the mends below."""
-QUOTA_MENDS: Final = ("7292a35", "657faea")
-ELECTION_MENDS: Final = ("3826185",)
+QUOTA_FIXES: Final = ("7292a35", "657faea")
+ELECTION_FIXES: Final = ("3826185",)
 """Commits on another branch of the same day, which change what was measured."""
 SEPARATOR: Final = ": "
 CHANGED_TREE: Final = "+"
--- a/simulation/capacity/growth.py
+++ b/simulation/capacity/growth.py
@@ -18,8 +18,8 @@
 from simulation.capacity.meter import Counts
 from simulation.capacity.samples import Sample
 
-SETTLE_S = 5.0
-QUICK_SETTLE_S = 0.5
+WARM_UP_S = 5.0
+QUICK_WARM_UP_S = 0.5
 """Seconds after the start in which heartbeats are more frequent than later."""
 WINDOW_S = 6.0
 SHORT_WINDOW_S = 2.0
@@ -93,7 +93,7 @@
     before = resident_mb()
     fleet = Fleet(step.fleet, seed=1)
     fleet.begin()
-    fleet.window(QUICK_SETTLE_S if window_s <= QUICK_WINDOW_S else SETTLE_S)
+    fleet.window(QUICK_WARM_UP_S if window_s <= QUICK_WINDOW_S else WARM_UP_S)
     found: dict[tuple[str, str], list[float]] = {}
     for _ in range(windows):
         fleet.window(window_s)
@@ -102,9 +102,9 @@
                 found.setdefault(key, []).append(value)
     found["simulator: memory", "MB"] = [resident_mb() - before]
     for path in STATUS, LEASES:
-        told = ask(fleet, path)
-        found[f"tools: GET {path}: bytes", "bytes"] = [told.bytes]
-        found[f"tools: GET {path}: processor", "s"] = [told.processor_s]
+        cost = measure_query(fleet, path)
+        found[f"tools: GET {path}: bytes", "bytes"] = [cost.bytes]
+        found[f"tools: GET {path}: processor", "s"] = [cost.processor_s]
     return [
         Sample(step.axis, step.size, figure, unit, _padded(figure, values, windows))
         for (figure, unit), values in found.items()
@@ -118,7 +118,7 @@
     processor_s: float
 
 
-def ask(fleet: Fleet, path: str) -> QueryCost:
+def measure_query(fleet: Fleet, path: str) -> QueryCost:
     """Ask the leader what operators' tools ask."""
     answers: list[bytes] = []
     leader = fleet.leader()
--- a/simulation/capacity/meter.py
+++ b/simulation/capacity/meter.py
@@ -76,7 +76,7 @@
         self, a: Location, b: Location, kind: str, size: int, arrive: Callable[..., Any], *args: Any
     ) -> None:
         """Send a message over a link that stands already: no handshake comes before it."""
-        self.note(a, b, kind, size)
+        self.count_message(a, b, kind, size)
         wait = self.wait(a, size)
         if self.reaches(a, b):
             self.simulator.after(wait + self.delay(a, b), arrive, *args)
@@ -130,11 +130,11 @@
         self._count("sent", plane, message, size)
         process = self.process
         used = self.counts.links.get(to, -OUTBOUND_IDLE_S)
-        kept = process.simulator.now - used < OUTBOUND_IDLE_S
+        is_open = process.simulator.now - used < OUTBOUND_IDLE_S
         target = process.machine.deployment.ports.get(to)
         if target is None or (size > MAX_DATAGRAM_BYTES and not self._link(to)):
             return
-        carry = self.network.over_link if kept and size > MAX_DATAGRAM_BYTES else self.network.message
+        carry = self.network.over_link if is_open and size > MAX_DATAGRAM_BYTES else self.network.message
         carry(process.place, target, PLANE_NAMES[plane], size, process.arrive, to, plane, data)
 
     def take(self, sender: Address, plane: int, data: bytes) -> None:
--- a/simulation/capacity/page.py
+++ b/simulation/capacity/page.py
@@ -61,8 +61,8 @@
     old = [f"`{source}`" for source in former_names.SOURCES if source in measured]
     if not old:
         return []
-    quota = " and ".join(f"`{commit}`" for commit in former_names.QUOTA_MENDS)
-    elections = " and ".join(f"`{commit}`" for commit in former_names.ELECTION_MENDS)
+    quota = " and ".join(f"`{commit}`" for commit in former_names.QUOTA_FIXES)
+    elections = " and ".join(f"`{commit}`" for commit in former_names.ELECTION_FIXES)
     return [
         f"**To be measured again**: recordings of the sources at {', '.join(old)} were measured before the "
         f"mends of quota ({quota}) and elections ({elections}) of the same day. Their "
@@ -142,12 +142,12 @@
         role: figures.series("ingresses", f"{role}: lost for want of a link: messages")
         for role in ("leader", "controller")
     }
-    told = [
+    parts = [
         f"{number(points[-1].value)} a second at the {role} with {number(points[-1].size)} ingresses"
         for role, points in found.items()
         if points and points[-1].value
     ]
-    return [f"Values that found no link and were asked for again: {', '.join(told)}.", ""] if told else []
+    return [f"Values that found no link and were asked for again: {', '.join(parts)}.", ""] if parts else []
 
 
 def _row(line: BudgetLine, known: Mapping[str, remedies.Remedy]) -> tuple[str, ...]:
@@ -158,7 +158,7 @@
         line.name,
         budget,
         value,
-        "yes" if line.held else "**no**",
+        "yes" if line.is_within_budget else "**no**",
         line.estimate.breakdown(),
         line.mechanism,
         _fails_at(line),
@@ -169,7 +169,7 @@
 def _fails_at(line: BudgetLine) -> str:
     found = line.fails_at()
     if found is None:
-        return "any size" if not line.held else "doesn't grow"
+        return "any size" if not line.is_within_budget else "doesn't grow"
     axis, size = found
     return f"{number(size)} {axis}" if size > 0 else f"without {axis} too"
 
--- a/simulation/capacity/programs.py
+++ b/simulation/capacity/programs.py
@@ -37,8 +37,8 @@
 """Between two requests, so that none waits for another."""
 WAIT_S = 30.0
 POLL_S = 0.01
-SETTLE_S = 2.0
-QUICK_SETTLE_S = 0.2
+WARM_UP_S = 2.0
+QUICK_WARM_UP_S = 0.2
 KEY: Final = "key-of-the-caller"
 MILLISECONDS: Final = 1000.0
 CONTROLLER = "controller"
@@ -87,35 +87,35 @@
     cluster: LocalCluster, tenants: int, generation: int, quick: bool
 ) -> tuple[list[Sample], int]:
     """Put a configuration in force, then look at memory, added time and the start of an ingress."""
-    generation = await put(cluster, tenants, generation)
+    generation = await put_config(cluster, tenants, generation)
     await until_ready(cluster.machines)
-    await asyncio.sleep(QUICK_SETTLE_S if quick else SETTLE_S)
+    await asyncio.sleep(QUICK_WARM_UP_S if quick else WARM_UP_S)
     direct, through = await added(cluster, QUICK_REQUESTS if quick else REQUESTS)
     found = []
 
-    def note(figure: str, unit: str, values: list[float]) -> None:
+    def add_sample(figure: str, unit: str, values: list[float]) -> None:
         found.append(Sample(AXIS, tenants, figure, unit, tuple(values)))
 
     for role, name in ((INGRESS, "ingress"), (CONTROLLER, "controller")):
-        note(
+        add_sample(
             f"{name}: memory", "MB", [resident_mb(machine.programs[role].pid) for machine in cluster.machines]
         )
-        note(
+        add_sample(
             f"{name}: memory at its peak",
             "MB",
             [resident_mb(machine.programs[role].pid, "VmHWM") for machine in cluster.machines],
         )
     for percent, name in ((50, "median"), (99, "99th percentile")):
         one, other = (np.percentile(times, percent, axis=1) for times in (through, direct))
-        note(f"request through an ingress, {name}", "ms", [float(v) for v in one])
-        note(f"request to a backend, {name}", "ms", [float(v) for v in other])
-        note(f"added time, {name}", "ms", [float(a - b) for a, b in zip(one, other, strict=True)])
+        add_sample(f"request through an ingress, {name}", "ms", [float(v) for v in one])
+        add_sample(f"request to a backend, {name}", "ms", [float(v) for v in other])
+        add_sample(f"added time, {name}", "ms", [float(a - b) for a, b in zip(one, other, strict=True)])
     restarted = cluster.machines[:1] if quick else cluster.machines
-    note("ingress: start until ready", "s", [await restart(machine) for machine in restarted])
+    add_sample("ingress: start until ready", "s", [await restart(machine) for machine in restarted])
     return found, generation
 
 
-async def put(cluster: LocalCluster, tenants: int, base: int) -> int:
+async def put_config(cluster: LocalCluster, tenants: int, base: int) -> int:
     """Put a configuration of this size in force; its generation."""
     document = documents.document(max(1, tenants // ROUTES_PER_TENANT), tenants, 1)
     caller = documents.tenant_entry(tenants, random.Random(1))
--- a/simulation/capacity/regions.py
+++ b/simulation/capacity/regions.py
@@ -18,8 +18,8 @@
 INGRESSES = 12
 TENANTS = 12
 REQUESTS = 10.0
-SETTLE_S = 15.0
-QUICK_SETTLE_S = 2.0
+WARM_UP_S = 15.0
+QUICK_WARM_UP_S = 2.0
 PROPOSAL_TIMEOUT_S = 40.0
 QUICK_LOST_S = 2.0
 LATE_S = 15.0
@@ -61,58 +61,58 @@
 
 def measure_design(number: int, quick: bool) -> list[Sample]:
     """Charges and orders on a usual day, then a cut between the regions, then the loss of the first one."""
-    told = DESIGNS[number]
+    region_design = DESIGNS[number]
     found: list[Sample] = []
 
-    def note(figure: str, unit: str, *values: float) -> None:
-        found.append(Sample(AXIS, number, f"{told.name}: {figure}", unit, tuple(values)))
+    def add_sample(figure: str, unit: str, *values: float) -> None:
+        found.append(Sample(AXIS, number, f"{region_design.name}: {figure}", unit, tuple(values)))
 
-    fleet = start(told, quick)
-    for region in sorted(set(told.regions)):
+    fleet = start(region_design, quick)
+    for region in sorted(set(region_design.regions)):
         ingresses = [i for i in fleet.ingresses() if fleet.region(i.place.zone) == region]
-        note(f"charge in region {region + 1}, mean", "s", mean_charge(ingresses))
-        note(f"charge in region {region + 1}, 99th percentile", "s", percentile(ingresses))
-    note("order", "s", *(order(fleet) for _ in range(3 if quick else ORDERS)))
-    if len(set(told.regions)) == 1:
+        add_sample(f"charge in region {region + 1}, mean", "s", mean_charge(ingresses))
+        add_sample(f"charge in region {region + 1}, 99th percentile", "s", percentile(ingresses))
+    add_sample("order", "s", *(order(fleet) for _ in range(3 if quick else ORDERS)))
+    if len(set(region_design.regions)) == 1:
         return found
     lasts = QUICK_LOST_S if quick else PROPOSAL_TIMEOUT_S
     fleet.cut((0,), (1,), True)
-    _note_late(note, fleet, "regions cut off", lasts)
-    fleet = start(told, quick)
+    _add_late_samples(add_sample, fleet, "regions cut off", lasts)
+    fleet = start(region_design, quick)
     for machine in fleet.deployment.machines.values():
         if fleet.region(machine.place.zone) == 0:
             machine.kill(power=True)
-    _note_late(note, fleet, "first region lost", lasts)
+    _add_late_samples(add_sample, fleet, "first region lost", lasts)
     return found
 
 
-def start(told: RegionDesign, quick: bool) -> Fleet:
+def start(region_design: RegionDesign, quick: bool) -> Fleet:
     """A fleet of this design, after some seconds of traffic."""
     fleet = Fleet(
         FleetSize(
             ingresses=INGRESSES,
-            members=told.members,
+            members=region_design.members,
             tenants=TENANTS,
             requests=REQUESTS,
             region_delay_s=design.REGION_DELAY_S,
-            regions=told.regions,
+            regions=region_design.regions,
         ),
         seed=1,
     )
     fleet.begin()
-    fleet.simulator.run(fleet.simulator.now + (QUICK_SETTLE_S if quick else SETTLE_S))
+    fleet.simulator.run(fleet.simulator.now + (QUICK_WARM_UP_S if quick else WARM_UP_S))
     return fleet
 
 
-def _note_late(note: Any, fleet: Fleet, event: str, lasts: float) -> None:
+def _add_late_samples(add_sample: Any, fleet: Fleet, event: str, lasts: float) -> None:
     """What the regions admit once shares are used up, and whether they take orders."""
     began = fleet.simulator.now
     fleet.simulator.run(began + min(LATE_S, lasts / 2))
     before = by_region(fleet)
     fleet.simulator.run(began + lasts)
     for name, after in by_region(fleet).items():
-        note(f"{event}: admitted in {name}", "part", admitted(before[name], after))
-        note(f"{event}: orders taken in {name}", "orders", float(takes_orders(fleet, name)))
+        add_sample(f"{event}: admitted in {name}", "part", admitted(before[name], after))
+        add_sample(f"{event}: orders taken in {name}", "orders", float(takes_orders(fleet, name)))
 
 
 def admitted(before: Region, after: Region) -> float:
--- a/simulation/capacity/restarts.py
+++ b/simulation/capacity/restarts.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from simulation.capacity.fleet import ZONES, Fleet, FleetError, FleetSize
-from simulation.capacity.growth import QUICK_SETTLE_S, SETTLE_S
+from simulation.capacity.growth import QUICK_WARM_UP_S, WARM_UP_S
 from simulation.capacity.isolation import isolated
 from simulation.capacity.samples import Sample
 from simulation.model.machines import RESTART_S, START_S, Machine
@@ -62,12 +62,12 @@
     """All events in a fleet of so many ingresses, one after the other; `quick` leaves restarts out."""
     fleet = Fleet(FleetSize(ingresses=ingresses, backends=BACKENDS, tenants=TENANTS, requests=1.0), seed=1)
     fleet.begin()
-    fleet.window(QUICK_SETTLE_S if quick else SETTLE_S)
+    fleet.window(QUICK_WARM_UP_S if quick else WARM_UP_S)
     fleet.window(QUIET_S)
     usual = totals(fleet)
     found: list[Sample] = []
 
-    def note(event: str, figure: str, unit: str, value: float) -> None:
+    def add_sample(event: str, figure: str, unit: str, value: float) -> None:
         found.append(Sample(AXIS, ingresses, f"{event}: {figure}", unit, (value,)))
 
     ingress_machines = fleet.machines(fleet.ingresses())
@@ -75,15 +75,15 @@
     events = (("one ingress", ingress_machines[:1]), ("rack", ingress_machines[:RACK]), ("zone", zone))
     for event, machines in events if restarts and not quick else ():
         seconds = restart(fleet, machines)
-        _note_totals(note, event, totals(fleet), usual)
-        note(event, "until all are ready", "s", seconds)
+        _add_totals(add_sample, event, totals(fleet), usual)
+        add_sample(event, "until all are ready", "s", seconds)
         fleet.window(CALM_S)
     seconds = change_route(fleet)
-    _note_totals(note, "one route", totals(fleet), usual)
+    _add_totals(add_sample, "one route", totals(fleet), usual)
     if restarts:
         release(fleet)
-        _note_totals(note, "release", totals(fleet), usual)
-    note("one route", "from its order to the last ingress in force", "s", seconds)
+        _add_totals(add_sample, "release", totals(fleet), usual)
+    add_sample("one route", "from its order to the last ingress in force", "s", seconds)
     return found
 
 
@@ -162,25 +162,25 @@
     )
 
 
-def _note_totals(note: Any, event: str, found: Totals, usual: Totals) -> None:
+def _add_totals(add_sample: Any, event: str, found: Totals, usual: Totals) -> None:
     part = WATCHED_S / QUIET_S
-    note(
+    add_sample(
         event,
         "bytes that controllers send beyond the usual",
         "bytes",
         found.bytes_sent - part * usual.bytes_sent,
     )
-    note(
+    add_sample(
         event,
         "processor time of the leader beyond the usual",
         "s",
         found.leader_processor_s - part * usual.leader_processor_s,
     )
-    note(
+    add_sample(
         event,
         "processor time of an ingress beyond the usual",
         "s",
         found.ingress_processor_s - part * usual.ingress_processor_s,
     )
-    note(event, "most links open at a controller", "links", found.links)
-    note(event, "messages lost for want of a link", "messages", found.lost)
+    add_sample(event, "most links open at a controller", "links", found.links)
+    add_sample(event, "messages lost for want of a link", "messages", found.lost)
--- a/simulation/capacity/samples.py
+++ b/simulation/capacity/samples.py
@@ -118,14 +118,14 @@
 def load(path: Path) -> Recording:
     """Read a recording, with the present names of its figures; RecordingError if there is none."""
     try:
-        told = json.loads(path.read_text(encoding="utf-8"))
-        rows: Sequence[Any] = told.pop("samples")
+        fields = json.loads(path.read_text(encoding="utf-8"))
+        rows: Sequence[Any] = fields.pop("samples")
         samples = tuple(
             Sample(axis, size, figure, unit, tuple(values)) for axis, size, figure, unit, values in rows
         )
-        if former_names.has_former_names(told["source"]):
+        if former_names.has_former_names(fields["source"]):
             samples = tuple(replace(s, figure=former_names.current_figure(s.figure)) for s in samples)
-        return Recording(**told, samples=samples)
+        return Recording(**fields, samples=samples)
     except (OSError, ValueError, KeyError, TypeError) as error:
         raise RecordingError(f"{path}: {error}") from error
 
--- a/simulation/capacity/sections.py
+++ b/simulation/capacity/sections.py
@@ -26,8 +26,8 @@
 def source(figures: Figures, studies: Iterable[str]) -> str:
     """Which runs gave a table, with their dates and the median of their spread."""
     known = [figures.recordings[name] for name in studies if name in figures.recordings]
-    told = [f"`{r.command}`, {r.date}, spread (largest, median) {spread(r)}" for r in known]
-    return "From " + "; ".join(told) + "."
+    parts = [f"`{r.command}`, {r.date}, spread (largest, median) {spread(r)}" for r in known]
+    return "From " + "; ".join(parts) + "."
 
 
 def messages(figures: Figures) -> list[str]:
@@ -192,15 +192,15 @@
 def _worked_out(figures: Figures) -> list[str]:
     """Events at the size to design for, from the slopes above."""
 
-    def whole(name: str) -> float:
+    def at_full_size(name: str) -> float:
         return figures.at_design("whole", name, design.TENANTS)
 
-    value = whole("agreed value")
-    change = whole("one route as an agreed value")
-    key = whole("one key as an agreed value")
-    apply_config = whole("ingress: take up a whole one")
-    one = whole("ingress: take up one route")
-    one_key = whole("ingress: take up one key")
+    value = at_full_size("agreed value")
+    change = at_full_size("one route as an agreed value")
+    key = at_full_size("one key as an agreed value")
+    apply_config = at_full_size("ingress: take up a whole one")
+    one = at_full_size("ingress: take up one route")
+    one_key = at_full_size("ingress: take up one key")
     zone = design.INGRESSES / design.ZONES
     rows = [
         ("restart of one ingress", number(value / 1e6), number(apply_config)),
--- a/simulation/checkers/budgets.py
+++ b/simulation/checkers/budgets.py
@@ -89,11 +89,11 @@
         for service in services:
             wanted.setdefault(service, []).append(sent.at)
     for service, times in repeats.items():
-        asked = sorted(wanted.get(service, []))
+        requested = sorted(wanted.get(service, []))
         for i, at in enumerate(times):
             count = bisect_right(times, at + window) - i
             requests = max(
-                bisect_right(asked, at + window - back) - bisect_left(asked, at - back)
+                bisect_right(requested, at + window - back) - bisect_left(requested, at - back)
                 for back in (0.0, window, window / 2)
             )
             most = b.retry_ratio * requests + b.retry_slack
--- a/simulation/checkers/recovery.py
+++ b/simulation/checkers/recovery.py
@@ -17,8 +17,8 @@
     done = {(at, route) for at, route, *_ in record.served}
 
     def share(begins: float, ends: float) -> float | None:
-        asked = [(at, route) for at, route, *_ in record.wanted if begins <= at < ends]
-        return sum(a in done for a in asked) / len(asked) if len(asked) >= 20 else None
+        requested = [(at, route) for at, route, *_ in record.wanted if begins <= at < ends]
+        return sum(a in done for a in requested) / len(requested) if len(requested) >= 20 else None
 
     before = share(record.closing - 20.0, record.closing - 1.0)
     after = share(back + b.recovery_s, record.until - 3.0)
--- a/simulation/commands/base.py
+++ b/simulation/commands/base.py
@@ -54,11 +54,11 @@
 
     def day(self) -> spec.Spec:
         """The experiment's day, or with `--by-chance` a random one."""
-        told = spec.change(self.experiment(), self.values())
+        experiment = spec.change(self.experiment(), self.values())
         return (
-            random_days.random_day(told, self.number("seed"), self.groups())
+            random_days.random_day(experiment, self.number("seed"), self.groups())
             if self.option("by-chance")
-            else told
+            else experiment
         )
 
     def findings(self, found: HuntResult) -> int:
--- a/simulation/commands/hunt.py
+++ b/simulation/commands/hunt.py
@@ -35,12 +35,12 @@
 
         first = self.number("first")
         count = self.number("seeds") or 100
-        told = spec.change(self.experiment(), self.values())
+        experiment = spec.change(self.experiment(), self.values())
         broken = []
         spent = [0.0, 0.0]
         seeds = range(first, first + count)
         source = hunt.source()
-        found = hunt.hunt(told, seeds, self.groups(), self.number("cores"))
+        found = hunt.hunt(experiment, seeds, self.groups(), self.number("cores"))
         for each in tqdm(found, total=count, unit="day"):
             spent[0] += each.figures["processor_s"]
             spent[1] += each.figures["processor_s"] * each.figures["node_seconds_a_second"]
@@ -55,7 +55,7 @@
                 )
         if path := self.option("record"):
             line = {
-                "experiment": told.name,
+                "experiment": experiment.name,
                 "set": self.values(),
                 "groups": self.groups(),
                 "source": source,
--- a/simulation/commands/sweep.py
+++ b/simulation/commands/sweep.py
@@ -30,15 +30,15 @@
         """Run the sweep and write its table and report; 1 if a rule is violated."""
         from simulation import report, sweep
 
-        told, over = spec.load(self.argument("file"))
+        experiment, over = spec.load(self.argument("file"))
         if self.option("seeds"):
             over = replace(over, seeds=self.number("seeds"))
-        rows = list(sweep.rows(told, over, self.number("cores")))
+        rows = list(sweep.rows(experiment, over, self.number("cores")))
         folder = Path(self.option("out"))
         folder.mkdir(parents=True, exist_ok=True)
-        sweep.write_table(rows, folder / f"{told.name}.csv")
-        report.write(told, rows, folder / f"{told.name}.html")
-        self.tell(f"{folder / told.name}.html")
+        sweep.write_table(rows, folder / f"{experiment.name}.csv")
+        report.write(experiment, rows, folder / f"{experiment.name}.html")
+        self.tell(f"{folder / experiment.name}.html")
         broken = [f"{row.values} seed {row.seed}: {b}" for row in rows for b in row.broken]
         self.tell("\n".join(broken[:20]) or "no rule is broken")
         return 1 if broken else 0
--- a/simulation/loopback/driver.py
+++ b/simulation/loopback/driver.py
@@ -94,7 +94,7 @@
         self.controls = [h.address("control") for h in cluster.core]
         self.tenants = shares(spec.tenants.count, spec.tenants.uneven)
         self.count = 0
-        self.held: set[str] = set()  # machines that aren't to be started again at once
+        self.stopped_machines: set[str] = set()  # machines that aren't to be started again at once
 
     def now(self) -> float:
         """Seconds of the day."""
@@ -144,7 +144,7 @@
 
     async def look_at(self, machine: LocalMachine) -> None:
         """Restart a machine that has ended by itself, and ask for its readiness."""
-        if machine.ended() and machine.name not in self.held:
+        if machine.ended() and machine.name not in self.stopped_machines:
             machine.start()
         answer = await http_clients.call(machine.address("ready"), "GET", "/-/readiness", {}, b"", 0.9)
         (self.ready.add if answer.status == 200 else self.ready.discard)(machine.name)
@@ -233,7 +233,7 @@
             )
             after = float(answer.headers.get("retry-after", 0.0))
             self.record.answered[attempt] = Answered(
-                self.now(), attempt, answer.status, http_clients.whole(answer, attempt), after
+                self.now(), attempt, answer.status, http_clients.verify_body(answer, attempt), after
             )
             if 200 <= answer.status < 300:
                 self.record.served.append((began, kind.name, f"tenant-{tenant}", zone, self.now() - began))
@@ -284,7 +284,9 @@
         }
         await actions_by_kind[t.kind]()
 
-    def note(self, t: Disruption, machines: list[LocalMachine], lasts: float, planned: bool = False) -> None:
+    def record_disruption(
+        self, t: Disruption, machines: list[LocalMachine], lasts: float, planned: bool = False
+    ) -> None:
         """Record a disruption with the machines that it hits."""
         names = tuple(h.name for h in machines)
         self.record.disruptions.append(
@@ -302,30 +304,30 @@
     async def kill(self, machines: list[LocalMachine], t: Disruption) -> None:
         """Kill machines, and start them again."""
         for machine in machines:
-            self.held.add(machine.name)
+            self.stopped_machines.add(machine.name)
             machine.signal(signal.SIGKILL)
-        self.note(t, machines, 1.0)
+        self.record_disruption(t, machines, 1.0)
         await asyncio.sleep(0.8)
         for machine in machines:
-            self.held.discard(machine.name)
+            self.stopped_machines.discard(machine.name)
             machine.start()
 
     async def freeze(self, machine: LocalMachine, t: Disruption) -> None:
         """Suspend a machine's processes for a while."""
         machine.signal(signal.SIGSTOP)
-        self.note(t, [machine], t.lasts)
+        self.record_disruption(t, [machine], t.lasts)
         await asyncio.sleep(t.lasts)
         machine.signal(signal.SIGCONT)
 
     async def end(self, machine: LocalMachine, t: Disruption) -> None:
         """Stop a machine in order, and start it again."""
-        self.held.add(machine.name)
+        self.stopped_machines.add(machine.name)
         machine.signal(signal.SIGTERM)
-        self.note(t, [machine], self.spec.bounds.grace_s + 0.5, planned=True)
+        self.record_disruption(t, [machine], self.spec.bounds.grace_s + 0.5, planned=True)
         await asyncio.sleep(self.spec.bounds.grace_s)
         machine.signal(signal.SIGKILL)
         await asyncio.sleep(0.5)
-        self.held.discard(machine.name)
+        self.stopped_machines.discard(machine.name)
         machine.start()
 
     async def crash(self, t: Disruption) -> None:
@@ -347,7 +349,7 @@
     async def press(self, t: Disruption) -> None:
         """Raise one tenant's load for a while."""
         tenant = t.which % len(self.tenants)
-        self.note(t, [], t.lasts)
+        self.record_disruption(t, [], t.lasts)
         factor = (1.0 + 6.0 * t.much) * self.tenants[tenant]
         for kind in self.spec.kinds:
             self.do(self.come(kind, factor, tenant, self.now() + t.lasts))
--- a/simulation/loopback/http_clients.py
+++ b/simulation/loopback/http_clients.py
@@ -69,7 +69,7 @@
     return answer, address
 
 
-def whole(answer: Answer, attempt: str) -> str:
+def verify_body(answer: Answer, attempt: str) -> str:
     """What is wrong with a success."""
     if not 200 <= answer.status < 300:
         return ""
--- a/simulation/measurements.py
+++ b/simulation/measurements.py
@@ -49,12 +49,12 @@
         for e in o.document["resource-list"]
         if e["entry-kind"] == "tenants"
     }
-    asked = dict[tuple[str, int], list[float]]()
+    requested = dict[tuple[str, int], list[float]]()
     earned = dict[tuple[str, int], list[tuple[float, float]]]()
     for at, _, worth, tenant in record.wanted:
         if at >= record.until - LAST_S:
             continue
-        asked.setdefault((tenant, int(at)), []).append(worth)
+        requested.setdefault((tenant, int(at)), []).append(worth)
     for tries in tries_of(record):
         first = tries[0]
         last = tries[-1]
@@ -63,7 +63,7 @@
             key = first.tenant, int(first.at)
             earned.setdefault(key, []).append((earns(kind, tries, record), kind.worth))
     found = np.zeros((3, int(record.until) + 1))
-    for key, worths in asked.items():
+    for key, worths in requested.items():
         due = sum(worths) * min(1.0, limits.get(key[0], 1e9) / len(worths))
         got = np.sum(earned.get(key, [(0.0, 0.0)]), axis=0)
         found[:, key[1]] += due, min(due, got[0]), min(due, got[1])
@@ -74,7 +74,7 @@
     """The tries of each request in order; probes are left out."""
     found: dict[int, list[Sent]] = {}
     for sent in record.sent:
-        if not sent.probe:
+        if not sent.is_config_check:
             found.setdefault(sent.request, []).append(sent)
     return list(found.values())
 
@@ -161,7 +161,7 @@
     by = seconds(record, spec)
     times = histogram(record)
     worth = owed(record, spec)
-    asked, earned, at_all = worth.sum(axis=1)
+    requested, earned, at_all = worth.sum(axis=1)
     refused, failed = unserved(record)
     wanted = int(by.wanted.sum())
     served = int(by.served.sum())
@@ -177,8 +177,8 @@
         "wanted": wanted,
         "served": served,
         "served_part": served / max(1, wanted),
-        "worth_part": earned / max(1e-9, asked),
-        "at_all_part": at_all / max(1e-9, asked),
+        "worth_part": earned / max(1e-9, requested),
+        "at_all_part": at_all / max(1e-9, requested),
         "worst_windows": worst_windows(worth),
         "refused_requests": refused / max(1, wanted),
         "failed_requests": failed / max(1, wanted),
--- a/simulation/model/backends.py
+++ b/simulation/model/backends.py
@@ -99,7 +99,7 @@
         self.rng = deployment.simulator.chance()
         self.pace = pace  # times the usual time that it takes
         self.began = self.simulator.now
-        self.cold_until = 0.0
+        self.slow_start_until = 0.0
         self.running = 0
         self.queue = deque[BackendRequest]()
         self.connections = 0
@@ -116,10 +116,10 @@
 
     def start(self, cold_s: float) -> None:
         """Begin to serve and to tell of it."""
-        self.cold_until = self.simulator.now + cold_s if cold_s else 0.0
+        self.slow_start_until = self.simulator.now + cold_s if cold_s else 0.0
         self.deployment.listeners[self.address] = self
         self.tell("starts", "")
-        self.simulator.after(self.rng.uniform(0.0, 0.3), self.beat)
+        self.simulator.after(self.rng.uniform(0.0, 0.3), self.send_heartbeat)
 
     def tell(self, what: str, by: str) -> None:
         """Record an event of this backend's registration."""
@@ -127,7 +127,7 @@
             BackendEvent(self.simulator.now, what, self.id, self.service.name, self.address, by)
         )
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Say that it is there, again and again."""
         if self.ended or self.draining or self.silenced:
             return
@@ -136,13 +136,15 @@
     def on_heartbeat_response(self, status: int, by: str, body: bytes) -> None:
         """A heartbeat was answered: schedule the next one."""
         if 200 <= status < 300:
-            self.simulator.after(self.deployment.spec.beat_s * self.rng.uniform(0.95, 1.05), self.beat)
+            self.simulator.after(
+                self.deployment.spec.beat_s * self.rng.uniform(0.95, 1.05), self.send_heartbeat
+            )
             target = json.loads(body or b"{}").get("beat-target")
             if target:
                 self.target = target
         else:
             self.target = None
-            self.simulator.after(0.2, self.beat)
+            self.simulator.after(0.2, self.send_heartbeat)
 
     def call(self, method: str, done: Callable[[int, str, bytes], None]) -> None:
         """One call to the controller that was named for later calls, or to any."""
@@ -159,7 +161,7 @@
                     "capacity": self.service.capacity,
                     "call-seq": self.calls,
                     "phase": "draining" if self.draining else "standing",
-                    "cold-left-s": max(0.0, self.cold_until - self.simulator.now),
+                    "cold-left-s": max(0.0, self.slow_start_until - self.simulator.now),
                 }
             ).encode()
         self.deployment.call(self.place, to, method, f"/-/backends/{self.id}", body, 1.0, done)
@@ -248,10 +250,10 @@
             return None
         if self.running >= self.service.capacity and len(self.queue) >= self.service.queue:
             if self.service.when_full == "silent":
-                self.note(work, False, "full, silent")
+                self.record_arrival(work, False, "full, silent")
                 return None
             if self.service.when_full == "reset":
-                self.note(work, False, "full, reset")
+                self.record_arrival(work, False, "full, reset")
                 done(None)
                 return None
             self.reject(work, 503, "full")
@@ -260,7 +262,7 @@
         self.proceed()
         return work
 
-    def note(self, work: BackendRequest, ran: bool, why: str = "") -> None:
+    def record_arrival(self, work: BackendRequest, ran: bool, why: str = "") -> None:
         """Record a request that has arrived, and whether it runs."""
         tenant = work.fields.get(b"tenant", b"").decode()
         self.deployment.record.arrived.append(
@@ -269,7 +271,7 @@
 
     def reject(self, work: BackendRequest, status: int, why: str) -> None:
         """Reject a request without running it."""
-        self.note(work, False, why)
+        self.record_arrival(work, False, why)
         work.done(
             Response(
                 status,
@@ -290,9 +292,9 @@
                 continue
             self.running += 1
             work.running = True
-            self.note(work, True)
+            self.record_arrival(work, True)
             took = self.deployment.work_s(work.path, self.rng) * self.pace
-            if self.simulator.now < self.cold_until:
+            if self.simulator.now < self.slow_start_until:
                 took *= 2.0
             if self.service.slow_when_full and self.running >= self.service.capacity:
                 took *= self.service.slow_when_full
--- a/simulation/model/client_load.py
+++ b/simulation/model/client_load.py
@@ -107,13 +107,13 @@
         keys = [key for key in {**before, **after} if before.get(key) != after.get(key)]
         kind = self.spec.kinds[0]
         usual = next(iter(after))
-        asked = [(label, usual) for label in self.rng.sample(labels, min(PROBED, len(labels)))]
-        asked += [(kind.name, key) for key in self.rng.sample(keys, min(PROBED, len(keys)))]
+        targets = [(label, usual) for label in self.rng.sample(labels, min(PROBED, len(labels)))]
+        targets += [(kind.name, key) for key in self.rng.sample(keys, min(PROBED, len(keys)))]
         for wait in PROBES_S:
-            for label, key in asked:
-                self.simulator.after(wait * self.rng.uniform(0.8, 1.2), self.ask, label, key)
+            for label, key in targets:
+                self.simulator.after(wait * self.rng.uniform(0.8, 1.2), self.check_config, label, key)
 
-    def ask(self, label: str, key: str) -> None:
+    def check_config(self, label: str, key: str) -> None:
         """One such request to each ingress that is in."""
         kind = self.spec.kinds[0]
         tenant = keys_of(self.operator_pool.newest).get(key, "")
@@ -131,7 +131,7 @@
                     self.count,
                     self.simulator.now,
                 )
-                request.probe = True
+                request.is_config_check = True
                 request.left = 0
                 self.send(request, machine)
 
@@ -160,7 +160,7 @@
                 request.zone,
                 machine.name,
                 request.kind.safe,
-                request.probe,
+                request.is_config_check,
             )
         )
         ClientAttempt(self, request, attempt, machine).begin()
@@ -181,8 +181,8 @@
             return
         self.record.answered[attempt] = Answered(now, attempt, status, fault, after)
         request.ways.add(machine.name)
-        if 200 <= status < 300 or request.probe:
-            if not request.probe and not fault:
+        if 200 <= status < 300 or request.is_config_check:
+            if not request.is_config_check and not fault:
                 self.record.served.append(
                     (request.began, request.label, request.tenant, request.zone, now - request.began)
                 )
--- a/simulation/model/client_requests.py
+++ b/simulation/model/client_requests.py
@@ -14,13 +14,13 @@
         "ends",
         "hashed",
         "host",
+        "is_config_check",
         "key",
         "kind",
         "label",
         "left",
         "number",
         "path",
-        "probe",
         "tenant",
         "ways",
         "zone",
@@ -47,7 +47,7 @@
         self.zone = zone
         self.hashed = hashed
         self.host = HOST
-        self.probe = False
+        self.is_config_check = False
         self.began = now
         self.ends = now + kind.deadline_s
         self.left = kind.repeats
--- a/simulation/model/disk.py
+++ b/simulation/model/disk.py
@@ -47,7 +47,7 @@
         begun = self.wiped
         takes = 3 * self.sync_s + size / 50e6
 
-        def put() -> None:
+        def store_record() -> None:
             if not process.ended and not self.fails and self.wiped == begun:
                 self.stored = record
 
@@ -65,7 +65,7 @@
 
         if self.lying:
             process.simulator.after(0.0, process.enter, done)
-        process.simulator.after(takes / 2, put)
+        process.simulator.after(takes / 2, store_record)
         process.simulator.after(takes, finish)
 
     def lose_power(self, rng: random.Random) -> None:
--- a/simulation/model/disruptions/machine_disruptions.py
+++ b/simulation/model/disruptions/machine_disruptions.py
@@ -43,7 +43,7 @@
         for machine in machines:
             machine.kill(power, wipe)
             machine.back(after * self.rng.uniform(0.8, 1.2))
-        self.note(t, machines, lasts=1.2 * after + START_S)
+        self.record_disruption(t, machines, lasts=1.2 * after + START_S)
 
     def do_power(self, t: Disruption) -> None:
         """A machine loses power and comes back with its disk."""
@@ -81,14 +81,14 @@
         for process in processes:
             process.freeze(True)
             self.simulator.after(t.lasts, process.freeze, False)
-        self.note(t, [machine], lasts=t.lasts)
+        self.record_disruption(t, [machine], lasts=t.lasts)
 
     def do_slow(self, t: Disruption) -> None:
         """A machine's processor is slow."""
         machine = self.one(t, self.machines())
         self._speed(machine, 0.05)
         self.simulator.after(t.lasts, self._speed, machine, 1.0)
-        self.note(t, [machine], lasts=t.lasts)
+        self.record_disruption(t, [machine], lasts=t.lasts)
 
     def _speed(self, machine: Machine, speed: float) -> None:
         machine.speed = speed
@@ -103,7 +103,7 @@
         machine.stop()
         lasts = self.deployment.spec.bounds.grace_s + 0.5
         machine.back(lasts)
-        self.note(t, [machine], lasts=lasts, planned=True)
+        self.record_disruption(t, [machine], lasts=lasts, planned=True)
 
     def do_roll_out(self, t: Disruption) -> None:
         """All machines are stopped in order and started again, one after the other.
@@ -140,7 +140,7 @@
         new = self.deployment.add(old.place.zone, old.roles)
         self.simulator.after(t.lasts * 0.3, new.start)
         self.simulator.after(t.lasts * 0.3, self.deployment.list_controls)
-        self.note(t, [old, new], core=True, lasts=t.lasts, planned=in_order)
+        self.record_disruption(t, [old, new], core=True, lasts=t.lasts, planned=in_order)
 
     def do_planned_core(self, t: Disruption) -> None:
         """A machine of the core is replaced as planned.
@@ -158,7 +158,7 @@
 
         self.deployment.list_controls()
         self.simulator.after(t.lasts, stop)
-        self.note(t, [old, new], core=True, lasts=t.lasts, planned=True)
+        self.record_disruption(t, [old, new], core=True, lasts=t.lasts, planned=True)
 
     def do_seed_turnover(self, t: Disruption) -> None:
         """The seeds are exchanged for others that serve `control`, where there are others."""
--- a/simulation/model/disruptions/operators_and_backends.py
+++ b/simulation/model/disruptions/operators_and_backends.py
@@ -53,7 +53,7 @@
             self.load.press(
                 t.which % len(self.load.tenants), 2.0 + 6.0 * t.much, self.simulator.now + t.lasts
             )
-        self.note(t, [], lasts=t.lasts)
+        self.record_disruption(t, [], lasts=t.lasts)
 
     # Backends.
 
@@ -99,7 +99,7 @@
         name = services[t.which % len(services)].name
         self.deployment.modes[name] = mode, min(1.0, 0.1 * t.much)
         self.simulator.after(t.lasts, self.deployment.modes.pop, name, None)
-        self.note(t, [], lasts=t.lasts)
+        self.record_disruption(t, [], lasts=t.lasts)
 
     def do_answer_lost(self, t: Disruption) -> None:
         """A backend runs a request and its answer is lost."""
--- a/simulation/model/disruptions/schedule.py
+++ b/simulation/model/disruptions/schedule.py
@@ -42,7 +42,7 @@
         """Begin a disruption, by the method of its kind."""
         getattr(self, f"do_{disruption.kind}")(disruption)
 
-    def note(
+    def record_disruption(
         self,
         disruption: Disruption,
         machines: Sequence[Machine],
--- a/simulation/model/injected_bugs.py
+++ b/simulation/model/injected_bugs.py
@@ -74,7 +74,7 @@
     from gateway.proxy.execution_status import ExecutionStatus
 
     ingress: Any = process.proxy_node.ingress
-    ingress.execution_status = lambda held: ExecutionStatus.NEVER_RAN
+    ingress.execution_status = lambda state: ExecutionStatus.NEVER_RAN
     decisions: Any = ingress.gateway
 
     def refuse(now: float, active_request: Any, wait: float) -> None:
@@ -190,8 +190,8 @@
     config_in_force = controller_node.config_in_force
 
     def bare() -> tuple[int, ConfigState]:
-        version, held = config_in_force()
-        return version, ConfigState(held.document)
+        version, state = config_in_force()
+        return version, ConfigState(state.document)
 
     controller_node.config_in_force = bare
 
--- a/simulation/model/network.py
+++ b/simulation/model/network.py
@@ -53,22 +53,22 @@
 
     # Troubles.
 
-    def cut(self, frm: str, to: str, on: bool = True) -> None:
+    def cut(self, source: str, to: str, on: bool = True) -> None:
         """Cut one way, or join it again; cuts on top of each other are counted."""
-        count = self.cuts.get((frm, to), 0) + (1 if on else -1)
+        count = self.cuts.get((source, to), 0) + (1 if on else -1)
         if count > 0:
-            self.cuts[frm, to] = count
+            self.cuts[source, to] = count
         else:
-            self.cuts.pop((frm, to), None)
+            self.cuts.pop((source, to), None)
 
     def reaches(self, a: Location, b: Location) -> bool:
         """Whether anything gets from one place to another now."""
         cuts = self.cuts
         if not cuts or a.name == b.name:
             return True
-        for frm in (a.name, a.zone, "*"):
+        for source in (a.name, a.zone, "*"):
             for to in (b.name, b.zone, "*"):
-                if (frm, to) in cuts and (frm != "*" or to != "*"):
+                if (source, to) in cuts and (source != "*" or to != "*"):
                     return False
         return True
 
@@ -109,7 +109,7 @@
             loss = 1 - (1 - loss) * (1 - self.loss.get(a.name, 0.0)) * (1 - self.loss.get(b.name, 0.0))
         return loss
 
-    def note(self, a: Location, b: Location, kind: str, size: int) -> None:
+    def count_message(self, a: Location, b: Location, kind: str, size: int) -> None:
         """Count what is sent."""
         row = self.sent.get(kind)
         if row is None:
@@ -123,7 +123,7 @@
         self, a: Location, b: Location, kind: str, size: int, arrive: Callable[..., Any], *args: Any
     ) -> None:
         """Send a message between two own processes: `arrive(*args)` is called there, unless it is lost."""
-        self.note(a, b, kind, size)
+        self.count_message(a, b, kind, size)
         wait = self.wait(a, size)
         if (self.cuts and not self.reaches(a, b)) or (
             size <= DATAGRAM_BYTES
--- a/simulation/model/operators.py
+++ b/simulation/model/operators.py
@@ -108,7 +108,7 @@
         self.rng = deployment.simulator.chance()
         self.place = Location(f"operator {name}", f"operator {zone}")
 
-    def put(self, document: Document, valid: bool = True, patch: Document | None = None) -> None:
+    def submit(self, document: Document, valid: bool = True, patch: Document | None = None) -> None:
         """Send a change until there is a clear answer."""
         record = self.deployment.record
         number = len(self.deployment.record.orders)
@@ -249,7 +249,7 @@
         """Send the first configuration."""
         document = first_document(self.deployment)
         self.generation = 1
-        self.operators[0].put(document)
+        self.operators[0].submit(document)
 
     def taken(self, document: Document, method: str, body: bytes) -> None:
         """A change is acknowledged."""
@@ -287,7 +287,7 @@
                 "base-version": document["base-version"],
                 "upsert": {"resource-list": entries[-1:]},
             }
-        self.operators[who].put(document, valid, patch)
+        self.operators[who].submit(document, valid, patch)
 
     def race(self) -> None:
         """Two operators change the configuration at once, on top of the same version."""
--- a/simulation/model/proxy_sockets.py
+++ b/simulation/model/proxy_sockets.py
@@ -100,7 +100,7 @@
     def unread(self) -> bool:
         """Whether bytes have arrived that haven't been read."""
         end = cast(TcpEndpoint, self.transport)
-        return bool(end.pending or end.held)
+        return bool(end.pending or end.buffered)
 
 
 class ListeningSocket:
--- a/simulation/model/record.py
+++ b/simulation/model/record.py
@@ -19,7 +19,7 @@
     zone: str
     way: str
     safe: bool
-    probe: bool  # asks only which configuration is in force
+    is_config_check: bool  # asks only which configuration is in force
 
 
 class Answered(NamedTuple):
--- a/simulation/model/tcp.py
+++ b/simulation/model/tcp.py
@@ -39,10 +39,10 @@
     """
 
     __slots__ = (
+        "buffered",
         "client",
         "closed",
         "free_at",
-        "held",
         "lost",
         "network",
         "over",
@@ -70,7 +70,7 @@
         self.peer: TcpEndpoint
         self.receiver: StreamProtocol | None = None
         self.waiting = deque[tuple[int, bytes]]()  # that a cut holds up
-        self.held = deque[tuple[int, bytes]]()  # that has come while reading is paused
+        self.buffered = deque[tuple[int, bytes]]()  # that has come while reading is paused
         self.stuck_at: float | None = None
         self.free_at = 0.0
         self.pending = 0
@@ -98,7 +98,7 @@
         """Close; with unread bytes the other side gets a reset."""
         if not self.closed:
             self.closed = True
-            self.push(RESET if self.pending or self.held else EOF, b"")
+            self.push(RESET if self.pending or self.buffered else EOF, b"")
             self.tell(None)
 
     def abort(self) -> None:
@@ -128,8 +128,8 @@
     def resume_reading(self) -> None:
         """Pass on what was kept, and what arrives."""
         self.paused = False
-        while self.held and not self.paused:
-            self.give(*self.held.popleft())
+        while self.buffered and not self.paused:
+            self.give(*self.buffered.popleft())
 
     # As a socket.
 
@@ -147,7 +147,7 @@
         """A look at what has come and isn't read, as `MSG_PEEK` gives it."""
         if self.over:
             return b""
-        if self.pending or self.held:
+        if self.pending or self.buffered:
             return b"?"
         raise BlockingIOError
 
@@ -172,7 +172,7 @@
             self.stuck_at = None
             kind, data = self.waiting.popleft()
             if data and not (self.client or self.peer.client):
-                network.note(self.place, self.peer.place, "requests", len(data))
+                network.count_message(self.place, self.peer.place, "requests", len(data))
             delay = network.delay(self.place, self.peer.place, self.client or self.peer.client)
             if network.loss and network.rng.random() < network.lossy(self.place, self.peer.place):
                 delay += RESEND_S
@@ -222,7 +222,7 @@
     def take(self, kind: int, data: bytes) -> None:
         """Something has arrived: pass it on, unless reading is paused."""
         if self.paused and kind != RESET:
-            self.held.append((kind, data))
+            self.buffered.append((kind, data))
         else:
             self.give(kind, data)
 
--- a/simulation/orders.py
+++ b/simulation/orders.py
@@ -113,11 +113,13 @@
     spreads = [list(o.nodes.values()) for o in found if o.nodes]
     mids = [median(s) for s in spreads]
     lasts = [max(s) for s in spreads]
-    for name, whole in (("median", median), ("worst", max)):
-        rows.append((name, "", _cell(acks, whole), "", _cell(mids, whole), _cell(lasts, whole), "", ""))
+    for name, summarize in (("median", median), ("worst", max)):
+        rows.append(
+            (name, "", _cell(acks, summarize), "", _cell(mids, summarize), _cell(lasts, summarize), "", "")
+        )
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
     return ["  ".join(c.rjust(w) for c, w in zip(row, widths, strict=True)).rstrip() for row in rows]
 
 
-def _cell(times: list[float], whole: Any) -> str:
-    return f"{whole(times):.3f}" if times else ""
+def _cell(times: list[float], summarize: Any) -> str:
+    return f"{summarize(times):.3f}" if times else ""
--- a/simulation/recording.py
+++ b/simulation/recording.py
@@ -59,10 +59,10 @@
         handle = machine.handle
 
         def recorded_handle(now: float, event: Any) -> Any:
-            kept = pickle.dumps(event)
+            pickled = pickle.dumps(event)
             out = handle(now, event)
             self.count += 1
-            self.steps.append(RecordedInput(name, now, kept, [shown(o) for o in out]))
+            self.steps.append(RecordedInput(name, now, pickled, [shown(o) for o in out]))
             return out
 
         machine.handle = recorded_handle
--- a/simulation/standard_days.py
+++ b/simulation/standard_days.py
@@ -75,7 +75,7 @@
 
 def day(site: str, name: str, seed: int) -> Spec:
     """One of the days, with times drawn from a seed."""
-    told = specs.load(SITES / f"{site}.toml")[0]
+    site_spec = specs.load(SITES / f"{site}.toml")[0]
     rng = random.Random(f"{site} {name} {seed}")
     kind = name.partition("-")[0]
     seconds = 48.0 if kind == "quiet" else 68.0
@@ -97,10 +97,10 @@
     if closing:
         disruptions = [t for t in disruptions if t.at < closing - 5.0]
     return replace(
-        told,
+        site_spec,
         name=f"{site} {name}",
         disruptions=tuple(sorted(disruptions, key=lambda t: t.at)),
-        day=replace(told.day, seconds=seconds, load=LOAD[kind], closing=closing),
+        day=replace(site_spec.day, seconds=seconds, load=LOAD[kind], closing=closing),
     )
 
 
--- a/simulation/transcript.py
+++ b/simulation/transcript.py
@@ -59,9 +59,9 @@
         self.machines = set(machines)
         self.quiet = quiet
         self.lines: list[tuple[float, str]] = []
-        run.deployment.network.watch = self.note
+        run.deployment.network.watch = self.record_message
 
-    def note(self, sender: Location, receiver: Location, plane: str, message: Any) -> None:
+    def record_message(self, sender: Location, receiver: Location, plane: str, message: Any) -> None:
         """Record a message that has arrived."""
         now = self.run.simulator.now
         if not self.begins <= now <= self.ends or (self.planes and plane not in self.planes):
--- a/tests/gateway/proxy/call_simulation.py
+++ b/tests/gateway/proxy/call_simulation.py
@@ -87,7 +87,7 @@
 class SimulatedTransport:
     """What both kinds of transport here have in common, and a socket as far as one is asked for."""
 
-    pending, held = 0, ()
+    pending, buffered = 0, ()
 
     def __init__(self, process: Process) -> None:
         self.process = process
--- a/tests/simulation/test_capacity.py
+++ b/tests/simulation/test_capacity.py
@@ -47,7 +47,7 @@
     parts = (Part("ingresses", 30, 910, 0.2), Part("tenants", 20, 88_000, 1.8))
     line = budget.BudgetLine("ingress", "all", "time", "%", 1.1, Estimate(2.0, parts), "", budget.LEADER)
     axis, size = line.fails_at() or ("", 0.0)
-    assert (axis, size, line.held) == ("tenants", pytest.approx(44_010), False)
+    assert (axis, size, line.is_within_budget) == ("tenants", pytest.approx(44_010), False)
 
 
 def test_the_gaps_of_the_recorded_measurements(snapshot: object) -> None:
--- a/tests/simulation/test_transcript.py
+++ b/tests/simulation/test_transcript.py
@@ -40,7 +40,7 @@
     writer = TranscriptWriter(cast(Run, run), 0.0, 9.0, (), (), quiet)
     leader, follower = Location("a", "z1"), Location("b", "z2")
     for kind in (Kind.HEARTBEAT, Kind.APPEND_RESPONSE, Kind.APPEND_ENTRIES, Kind.REQUEST_VOTE):
-        writer.note(leader, follower, "consensus", Message(kind=kind))
+        writer.record_message(leader, follower, "consensus", Message(kind=kind))
     return [line for _, line in writer.lines]
 
 
