--- a/gateway/proxy/ingress.py
+++ b/gateway/proxy/ingress.py
@@ -22,29 +22,17 @@
 from gateway.state_machine import Send
 from ingress import interface as io
 from ingress.net.connection_interfaces import ImmediateResponse
+from ingress.net.errors import MalformedRequestError
 from ingress.net.exchange import Endpoint
-from ingress.net.http_messages import Address, ClientRequest, Response, ResponseEnd
+from ingress.net.http_messages import HOP_BY_HOP, Address, ClientRequest, Response, ResponseEnd
 from ingress.net.ingress import Ingress
 from ingress.net.pending_request import PendingRequest
+from ingress.net.request_parser import single_values
 from ingress.net.service_protocol import read_number
 from ingress.net.upstream import Upstream
 
 # Response headers that aren't passed on to clients.
-DROPPED_RESPONSE_HEADERS = frozenset(
-    (
-        b"connection",
-        b"keep-alive",
-        b"proxy-connection",
-        b"te",
-        b"trailer",
-        b"transfer-encoding",
-        b"upgrade",
-        b"content-length",
-        b"backend-load",
-        b"not-executed",
-        b"instance-id",
-    )
-)
+DROPPED_RESPONSE_HEADERS = HOP_BY_HOP | {b"content-length", b"backend-load", b"not-executed", b"instance-id"}
 # Request headers that may occur only once.
 SINGLETON_HEADERS = frozenset((b"host", b"attempt-id", b"authorization", b"deadline-ms"))
 NOT_EXECUTED_STATUSES = (503, 429, 400)  # with which a backend may say that it hasn't executed a request
@@ -60,19 +48,6 @@
 TIMEOUT_DECAY = 0.01  # by which the longest timeout seen moves towards each shorter one
 
 
-def read_singletons(headers: list[tuple[bytes, bytes]]) -> dict[bytes, bytes] | ImmediateResponse:
-    """The values of `SINGLETON_HEADERS` by lower case name; a response with 400 if one occurs twice."""
-    values: dict[bytes, bytes] = {}
-    for name, value in headers:
-        name = name.lower()
-        if name not in SINGLETON_HEADERS:
-            continue
-        if name in values:  # a backend might take the other one, and so another request
-            return ImmediateResponse(HTTPStatus.BAD_REQUEST, f"{name.decode()}: more than one", close=True)
-        values[name] = value
-    return values
-
-
 class ProxyIngress(Ingress):
     """The HTTP ingress of one proxy: request matching, headers, final answers, and its backends."""
 
@@ -115,13 +90,14 @@
         if self.compiled_config is None:
             self.refusals.count(self.now(), "no configuration")
             return ImmediateResponse(503, "no configuration yet", lines=RETRY_AFTER_HEADER)
-        singletons = read_singletons(headers)
-        if isinstance(singletons, ImmediateResponse):
-            return singletons
-        host = singletons.get(b"host", b"")
-        name = singletons.get(b"attempt-id", b"")
-        key = key_of(singletons.get(b"authorization", b""))
-        deadline_ms = singletons.get(b"deadline-ms")
+        try:
+            values = single_values(headers, SINGLETON_HEADERS.__contains__)
+        except MalformedRequestError as error:
+            return ImmediateResponse(error.status, str(error), close=True)
+        host = values.get(b"host", b"")
+        name = values.get(b"attempt-id", b"")
+        key = key_of(values.get(b"authorization", b""))
+        deadline_ms = values.get(b"deadline-ms")
         timeout_s = MAX_DEADLINE_S if deadline_ms is None else read_number(deadline_ms) / 1000
         route_decision = self.compiled_config.resolve_request(host, url, key)
         if self.inspect is not None:
--- a/ingress/net/client.py
+++ b/ingress/net/client.py
@@ -10,7 +10,7 @@
 from ingress.net.client_connection_base import FLOW_STALL_S
 from ingress.net.connection_interfaces import ConnectionServer, ImmediateResponse
 from ingress.net.errors import MalformedRequestError
-from ingress.net.http_messages import BLANKS, MAX_BUFFERED_BODY, ClientRequest
+from ingress.net.http_messages import BLANKS, HOP_BY_HOP, MAX_BUFFERED_BODY, ClientRequest
 from ingress.net.response_queue import ResponseQueue
 from ingress.net.upload import Upload
 
@@ -19,17 +19,7 @@
 LAG_S = 1.5  # longest wait for more of a body, however much of it has arrived
 LINGER_BYTES = 256 * 1024  # that are read and discarded while a client reads the last response
 ABSOLUTE = re.compile(rb"(?i:https?)://[^/?#]*")  # of an absolute-form target, the part before the path
-HOP_BY_HOP = {
-    b"connection",
-    b"keep-alive",
-    b"proxy-connection",
-    b"te",
-    b"trailer",
-    b"transfer-encoding",
-    b"upgrade",
-    b"expect",
-    b"content-length",
-}
+DROPPED_REQUEST_HEADERS = HOP_BY_HOP | {b"expect", b"content-length"}  # not passed on to backends
 
 HEAD_TOO_LONG = "the head is too long"
 
@@ -273,7 +263,8 @@
         start += [
             b"%s: %s\r\n" % (n, v)
             for n, v in self.headers
-            if (key := n.lower()) not in HOP_BY_HOP and key not in request_handler.withheld_headers
+            if (key := n.lower()) not in DROPPED_REQUEST_HEADERS
+            and key not in request_handler.withheld_headers
         ]
         call = ClientRequest(
             request,
--- a/ingress/net/http_messages.py
+++ b/ingress/net/http_messages.py
@@ -22,6 +22,9 @@
 BLANKS = b" \t"  # optional whitespace around a header's value
 FRAMING = (b"content-length", b"transfer-encoding")
 SINGLE = (*FRAMING, b"attempt-id", b"backend-seal")  # response headers that may occur only once
+HOP_BY_HOP = frozenset(  # headers that concern one connection only (RFC 9110, 7.6.1)
+    (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade")
+)
 EMPTY = (204, 304)  # statuses of responses without a body, whatever their headers say
 
 MAX_PORT = 65535
--- a/ingress/net/request_parser.py
+++ b/ingress/net/request_parser.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import re
+from collections.abc import Callable
 
 from ingress import interface as io
 from ingress.net.errors import MalformedRequestError
@@ -25,7 +26,7 @@
     Raises:
         MalformedRequestError: The headers are invalid.
     """
-    values = _single_values(headers)
+    values = single_values(headers, lambda key: key.startswith(b"x-") or key in ONCE)
     number = int(customer, 16)
     call_id = values.get(b"x-call-id", b"")
     budget = BUDGET.fullmatch(values.get(b"x-budget", b""))
@@ -60,12 +61,19 @@
     )
 
 
-def _single_values(headers: list[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
-    """The headers by lower case name; a repeated one that must occur only once is an error."""
+def single_values(
+    headers: list[tuple[bytes, bytes]], is_single: Callable[[bytes], bool]
+) -> dict[bytes, bytes]:
+    """The headers by lower case name, of a repeated one the last value.
+
+    Raises:
+        MalformedRequestError: One that must be single is repeated; a backend might take its other value, and
+            so the request for another one.
+    """
     values: dict[bytes, bytes] = {}
     for name, value in headers:
         key = name.lower()
-        if key in values and (key.startswith(b"x-") or key in ONCE):
+        if key in values and is_single(key):
             raise MalformedRequestError(f"{key.decode()}: more than one")
         values[key] = value
     return values
--- a/ingress/net/service_protocol.py
+++ b/ingress/net/service_protocol.py
@@ -33,7 +33,7 @@
         try:
             return read_request(self.settings, match[1], method, headers)
         except MalformedRequestError as error:
-            return ImmediateResponse(400, str(error), close=True)
+            return ImmediateResponse(error.status, str(error), close=True)
 
     def message(self, call: ClientRequest, backend: str, patience: float) -> bytes:
         """The request as sent to a backend; `patience` is how long this ingress will wait, in seconds."""
--- a/ingress/wire_fields.py
+++ b/ingress/wire_fields.py
@@ -47,6 +47,11 @@
     return value
 
 
+def read_optional_integer(message: str, field: str, text: str, default: int = 0) -> int:
+    """A whole number of 0 or more, or the default if the field is absent."""
+    return default if text == ABSENT else read_integer(message, field, text)
+
+
 def read_choice(message: str, field: str, text: str, choices: Mapping[str, T]) -> T:
     """The value that a field's text stands for."""
     if text not in choices:
--- a/ingress/wire_messages.py
+++ b/ingress/wire_messages.py
@@ -16,6 +16,7 @@
     read_integer,
     read_number,
     read_optional,
+    read_optional_integer,
 )
 
 OUTCOMES = {
@@ -75,7 +76,7 @@
 def _read_request(parts: Parts, fields: LoadFields, rows: Rows) -> io.Request:
     message = parts[0]
     check_count(message, parts, 11)
-    bits = 0 if parts[10] == ABSENT else read_integer(message, "bits", parts[10])
+    bits = read_optional_integer(message, "bits", parts[10])
     return io.Request(
         id=parts[2],
         class_name=parts[3],
@@ -83,8 +84,8 @@
         customer=read_integer(message, "apiKey", parts[5]),
         expires_in=read_number(message, "expiresIn", parts[6]),
         units=read_number(message, "units", parts[7], 0.0),
-        width=1 if parts[8] == ABSENT else read_integer(message, "width", parts[8]),
-        first=0 if parts[9] == ABSENT else read_integer(message, "base", parts[9]),
+        width=read_optional_integer(message, "width", parts[8], default=1),
+        first=read_optional_integer(message, "base", parts[9]),
         is_repeat=bool(bits & REPEAT_BIT),
         is_write=bool(bits & WRITE_BIT),
     )
@@ -100,7 +101,7 @@
         outcome=read_choice(message, "reason", parts[5], OUTCOMES),
         elapsed=read_optional(message, "waitTime", parts[6]),
         done=read_flag(message, "doneFlag", parts[7]),
-        metered=0 if parts[8] == ABSENT else read_integer(message, "metered", parts[8]),
+        metered=read_optional_integer(message, "metered", parts[8]),
         true_units=read_optional(message, "trueUnits", parts[9]),
         load=read_load(message, parts[10], fields),
     )
@@ -137,7 +138,7 @@
         if line is None:
             fail(message, "rows", f"{count} ROW lines", len(entries))
         entries.append(read_row(line))
-    version = 0 if parts[3] == ABSENT else read_integer(message, "stamp", parts[3])
+    version = read_optional_integer(message, "stamp", parts[3])
     return io.ListUpdate(read_choice(message, "form", parts[2], FORMS), version, tuple(entries))
 
 
