--- a/simulation/capacity/restarts.py
+++ b/simulation/capacity/restarts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Sequence
+from collections.abc import Callable, Iterator, Sequence
 from typing import Any, NamedTuple
 
 from simulation.capacity.fleet import ZONES, Fleet, FleetError, FleetSize
@@ -98,12 +98,7 @@
         machine.back()
     began = fleet.simulator.now
     fleet.simulator.run(began + RESTART_S + START_S)
-    try:
-        took = fleet.until(lambda: all(i.ready() for i in fleet.ingresses()), MOST_S)
-    except FleetError:
-        return -1.0
-    fleet.simulator.run(max(fleet.simulator.now, began + WATCHED_S))
-    return took
+    return _watch_until(fleet, began, lambda: all(i.ready() for i in fleet.ingresses()))
 
 
 def change_route(fleet: Fleet) -> float:
@@ -119,8 +114,13 @@
             for i in fleet.ingresses()
         )
 
+    return _watch_until(fleet, began, everywhere)
+
+
+def _watch_until(fleet: Fleet, began: float, condition: Callable[[], bool]) -> float:
+    """Seconds until a condition holds, -1 if it doesn't in time; then watch on until `WATCHED_S` are over."""
     try:
-        took = fleet.until(everywhere, MOST_S)
+        took = fleet.until(condition, MOST_S)
     except FleetError:
         return -1.0
     fleet.simulator.run(max(fleet.simulator.now, began + WATCHED_S))
--- a/simulation/cli.py
+++ b/simulation/cli.py
@@ -8,7 +8,7 @@
 from cleo.application import Application
 
 from simulation import hunt
-from simulation.commands.base import ProvingCommand
+from simulation.commands.base import SimulationCommand
 from simulation.commands.capacity import CapacityCommand
 from simulation.commands.hunt import HuntCommand
 from simulation.commands.loopback import LoadCommand
@@ -26,7 +26,7 @@
 from simulation.commands.sweep import SweepCommand
 from simulation.commands.transcript import ShowCommand
 
-COMMANDS: tuple[type[ProvingCommand], ...] = (
+COMMANDS: tuple[type[SimulationCommand], ...] = (
     RunCommand,
     HuntCommand,
     SweepCommand,
--- a/simulation/commands/base.py
+++ b/simulation/commands/base.py
@@ -24,7 +24,7 @@
 FIRST = option("first", None, "The first seed.", flag=False, default="1")
 
 
-class ProvingCommand(Command):
+class SimulationCommand(Command):
     """Base class of all commands: subclasses implement `act`."""
 
     def tell(self, text: str) -> None:
--- a/simulation/commands/capacity.py
+++ b/simulation/commands/capacity.py
@@ -8,10 +8,10 @@
 from cleo.helpers import option
 from cleo.io.inputs.option import Option
 
-from simulation.commands.base import ProvingCommand
+from simulation.commands.base import SimulationCommand
 
 
-class CapacityCommand(ProvingCommand):
+class CapacityCommand(SimulationCommand):
     """Measures how the control planes scale with size, and writes the capacity page."""
 
     name = "capacity"
--- a/simulation/commands/hunt.py
+++ b/simulation/commands/hunt.py
@@ -10,10 +10,10 @@
 from cleo.io.inputs.option import Option
 
 from simulation import hunt, random_days, spec
-from simulation.commands.base import CORES, EXPERIMENT, FIRST, GROUPS, SEEDS, VALUES, ProvingCommand
+from simulation.commands.base import CORES, EXPERIMENT, FIRST, GROUPS, SEEDS, VALUES, SimulationCommand
 
 
-class HuntCommand(ProvingCommand):
+class HuntCommand(SimulationCommand):
     """Simulates random days and shrinks those that violate a rule."""
 
     name = "hunt"
--- a/simulation/commands/loopback.py
+++ b/simulation/commands/loopback.py
@@ -9,10 +9,10 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from simulation.commands.base import EXPERIMENT, SEED, ProvingCommand
+from simulation.commands.base import EXPERIMENT, SEED, SimulationCommand
 
 
-class LoadCommand(ProvingCommand):
+class LoadCommand(SimulationCommand):
     """Runs a day over loopback against the real programs, and compares it with the simulation."""
 
     name = "load"
--- a/simulation/commands/plan.py
+++ b/simulation/commands/plan.py
@@ -8,10 +8,10 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from simulation.commands.base import CORES, EXPERIMENT, SEEDS, ProvingCommand
+from simulation.commands.base import CORES, EXPERIMENT, SEEDS, SimulationCommand
 
 
-class PlanCommand(ProvingCommand):
+class PlanCommand(SimulationCommand):
     """Estimates the impact of a change."""
 
     name = "plan"
--- a/simulation/commands/recordings.py
+++ b/simulation/commands/recordings.py
@@ -9,10 +9,10 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from simulation.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, ProvingCommand
+from simulation.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, SimulationCommand
 
 
-class RecordCommand(ProvingCommand):
+class RecordCommand(SimulationCommand):
     """Records all processes of a simulated day, and replays the recordings."""
 
     name = "record"
@@ -50,7 +50,7 @@
         return 1 if differing else 0
 
 
-class ReplayCommand(ProvingCommand):
+class ReplayCommand(SimulationCommand):
     """Replays a recording, or prints it."""
 
     name = "replay"
--- a/simulation/commands/reports.py
+++ b/simulation/commands/reports.py
@@ -10,10 +10,10 @@
 from cleo.io.inputs.option import Option
 
 from simulation import hunt, injected_bug_cases
-from simulation.commands.base import CORES, SEEDS, ProvingCommand
+from simulation.commands.base import CORES, SEEDS, SimulationCommand
 
 
-class StandardCommand(ProvingCommand):
+class StandardCommand(SimulationCommand):
     """Simulates a site's standard days."""
 
     name = "standard"
@@ -32,7 +32,7 @@
         return 0
 
 
-class AllowanceCommand(ProvingCommand):
+class AllowanceCommand(SimulationCommand):
     """Reports on the quota plane over a day."""
 
     name = "allowance"
@@ -58,7 +58,7 @@
         return 1 if any(view.beyond for view in day.views) else 0
 
 
-class CompareCommand(ProvingCommand):
+class CompareCommand(SimulationCommand):
     """Compares the simulation model with the bench."""
 
     name = "compare"
@@ -76,7 +76,7 @@
         return 0
 
 
-class LossesCommand(ProvingCommand):
+class LossesCommand(SimulationCommand):
     """Counts the disk losses that a core tolerates during membership changes."""
 
     name = "losses"
@@ -92,7 +92,7 @@
         return 0
 
 
-class InjectedBugsCommand(ProvingCommand):
+class InjectedBugsCommand(SimulationCommand):
     """Simulates the days of all injected bugs, and verifies that the checkers find them."""
 
     name = "proofs"
@@ -108,7 +108,7 @@
         return 1 if missed else 0
 
 
-class OrdersCommand(ProvingCommand):
+class OrdersCommand(SimulationCommand):
     """Reports the propagation times of configuration orders."""
 
     name = "orders"
--- a/simulation/commands/run.py
+++ b/simulation/commands/run.py
@@ -8,11 +8,11 @@
 from cleo.io.inputs.option import Option
 
 from simulation import random_days
-from simulation.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, ProvingCommand
+from simulation.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, SimulationCommand
 from simulation.hunt import HuntResult
 
 
-class RunCommand(ProvingCommand):
+class RunCommand(SimulationCommand):
     """Simulates one day, checks it, and prints its metrics."""
 
     name = "run"
--- a/simulation/commands/sweep.py
+++ b/simulation/commands/sweep.py
@@ -11,10 +11,10 @@
 from cleo.io.inputs.option import Option
 
 from simulation import spec
-from simulation.commands.base import CORES, EXPERIMENT, SEEDS, ProvingCommand
+from simulation.commands.base import CORES, EXPERIMENT, SEEDS, SimulationCommand
 
 
-class SweepCommand(ProvingCommand):
+class SweepCommand(SimulationCommand):
     """Sweeps an experiment over its parameters' values."""
 
     name = "sweep"
--- a/simulation/commands/transcript.py
+++ b/simulation/commands/transcript.py
@@ -8,11 +8,11 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from simulation.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, ProvingCommand
+from simulation.commands.base import CHANCE, EXPERIMENT, GROUPS, SEED, VALUES, SimulationCommand
 from simulation.planes import PLANE_NAMES, check_names
 
 
-class ShowCommand(ProvingCommand):
+class ShowCommand(SimulationCommand):
     """Prints the transcript of a span of a simulated day."""
 
     name = "show"
--- a/simulation/loopback/local_cluster.py
+++ b/simulation/loopback/local_cluster.py
@@ -108,7 +108,7 @@
         path.write_text(json.dumps(self.settings(machine, role)))
         environ = {**os.environ, "EIDERSTAGE_NODE_FILE": str(path), "PYTHONPATH": str(ROOT)}
         if self.recordings is not None:
-            environ["PROVING_RECORDINGS"] = str(self.recordings)
+            environ["SIMULATION_RECORDINGS"] = str(self.recordings)
         module = "gateway" if self.recordings is None else "simulation.recorded_program"
         with open(self.folder / f"{machine.name}-{role}.log", "ab") as log:
             return subprocess.Popen(
--- a/simulation/recorded_program.py
+++ b/simulation/recorded_program.py
@@ -1,4 +1,4 @@
-"""Runs a program of the system with a recording, which is written to the folder $PROVING_RECORDINGS on exit.
+"""Runs a program of the system with a recording, written to the folder $SIMULATION_RECORDINGS on exit.
 
     python -m simulation.recorded_program proxy|controller
 
@@ -19,7 +19,7 @@
 from gateway.programs.proxy_node import ProxyNode
 from simulation.recording import Recording, RecordingHeader
 
-FOLDER = "PROVING_RECORDINGS"
+FOLDER = "SIMULATION_RECORDINGS"
 RECORDINGS: list[Recording] = []
 
 
