--- a/gateway/cli/commands.py
+++ b/gateway/cli/commands.py
@@ -141,9 +141,9 @@
     def handle(self) -> int:
         """Run the command; returns its exit code."""
         from gateway.cli import core_report, status_client
-        from gateway.programs import status_report
+        from gateway.programs.paths import CORE
 
-        answers, failures = status_client.fetch_all(self.argument("seeds"), status_report.CORE)
+        answers, failures = status_client.fetch_all(self.argument("seeds"), CORE)
         self.lines(core_report.lines(answers))
         self.faults("", failures)
         return 0 if core_report.is_healthy(answers) and not failures else EXIT_FAULTS
@@ -159,9 +159,9 @@
     def handle(self) -> int:
         """Run the command; returns its exit code."""
         from gateway.cli import backend_report, status_client
-        from gateway.programs import status_report
+        from gateway.programs.paths import LEASES
 
-        answers, failures = status_client.fetch_all(self.argument("seeds"), status_report.LEASES)
+        answers, failures = status_client.fetch_all(self.argument("seeds"), LEASES)
         self.lines(backend_report.lines(answers))
         return self.faults("", failures) if failures else 0
 
@@ -199,8 +199,10 @@
     def call_controllers(self, seeds: list[str], body: bytes) -> int:
         """Call these controllers until there is a definite answer, and print that; returns the exit code."""
         from gateway.cli import control_client
+        from gateway.programs.paths import CONFIG
+        from gateway.runtime.http_call import HttpCall
 
-        call = control_client.ControlCall(self.method, control_client.CONFIG, body)
+        call = HttpCall(self.method, CONFIG, body)
         answer = control_client.call_with_retries(seeds, call, float(self.option("for")))
         text = answer.body.decode(errors="replace")
         if answer.status != HTTPStatus.OK:
--- a/gateway/cli/control_client.py
+++ b/gateway/cli/control_client.py
@@ -14,9 +14,9 @@
 
 from gateway.http_status import is_client_error, is_success
 from gateway.runtime.address import host_port
+from gateway.runtime.http_call import HttpCall
 from gateway.state_machine import Address
 
-CONFIG = "/-/config"
 FINAL_STATUSES = (400, 409, 412, 413, 422)  # definite, as any 2xx is: no retry
 RETRY_STATUSES = (408, 429)  # transient: another controller may accept the call
 MAX_OTHER_4XX = 3  # any other 4xx is definite once it was received this often
@@ -39,19 +39,11 @@
 NO_ANSWER = Answer(0, "", b"")
 
 
-class ControlCall(NamedTuple):
-    """A call that is sent unchanged to one controller after the other."""
-
-    method: str
-    path: str
-    body: bytes
-
-
-SendCall = Callable[[Address, ControlCall, float], Answer]
+SendCall = Callable[[Address, HttpCall, float], Answer]
 """Sends one call to an address, with a timeout in seconds; any failure is `NO_ANSWER`."""
 
 
-def send_call(address: Address, call: ControlCall, timeout_s: float) -> Answer:
+def send_call(address: Address, call: HttpCall, timeout_s: float) -> Answer:
     """Send one call with a timeout; any failure of it is `NO_ANSWER`."""
     headers = {"Content-Type": "application/json"} if call.body else {}
     try:
@@ -69,7 +61,7 @@
 
 def call_with_retries(
     seeds: Sequence[Address],
-    call: ControlCall,
+    call: HttpCall,
     timeout_s: float = DEFAULT_TIMEOUT_S,
     send: SendCall = send_call,
     sleep: Callable[[float], object] = time.sleep,
@@ -95,7 +87,7 @@
         attempt += 1
 
 
-def _follow_redirects(send: SendCall, address: Address, call: ControlCall, timeout_s: float) -> Answer:
+def _follow_redirects(send: SendCall, address: Address, call: HttpCall, timeout_s: float) -> Answer:
     """The answer of one controller, or of those that it redirects to (307)."""
     answer = NO_ANSWER
     for _ in range(1 + MAX_REDIRECTS):
--- a/gateway/cli/status_client.py
+++ b/gateway/cli/status_client.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from gateway.cli.errors import StatusCallError
-from gateway.programs.fleet_monitor import STATUS
+from gateway.programs.paths import STATUS
 from gateway.runtime.address import host_port
 from gateway.state_machine import Address
 
--- a/gateway/consensus/election_timer.py
+++ b/gateway/consensus/election_timer.py
@@ -10,8 +10,8 @@
 from collections import deque
 
 from gateway.consensus import consensus_pb2 as pb
-from gateway.consensus.entry import NEVER
 from gateway.consensus.replica import Replica
+from gateway.state_machine import LONG_AGO
 
 TIMEOUT_SCALES = (1.0, 2.0, 3.0, 5.3)  # few, as each increase is written to every disk
 ROUND_TRIPS_PER_TIMEOUT = 2.5  # one each for the pre-vote, the vote and a disk, less what overlaps
@@ -99,7 +99,7 @@
         # `latest_quorum_time` wants larger times for those that come earlier, hence the signs.
         times = {disk: -min(samples) for disk, samples in self.round_trips_s.items()}
         round_trip = -replica.entry.latest_quorum_time({**times, replica.disk: 0.0})
-        if not voters or round_trip >= -NEVER:
+        if not voters or round_trip >= -LONG_AGO:
             return None
         timeout = ROUND_TRIPS_PER_TIMEOUT * round_trip
         shortest = replica.tuning.election_min_s
--- a/gateway/consensus/entry.py
+++ b/gateway/consensus/entry.py
@@ -5,9 +5,8 @@
 from collections.abc import Container, Iterable, Mapping
 from typing import NamedTuple
 
-from gateway.state_machine import Address
+from gateway.state_machine import LONG_AGO, Address
 
-NEVER = -1e9
 """Before any time of a steady clock, in seconds."""
 
 
@@ -61,9 +60,9 @@
     def latest_quorum_time(self, times: Mapping[str, float]) -> float:
         """The latest time that a quorum has reached, given the time that each disk has reached."""
         return min(
-            sorted(times.get(m.disk, NEVER) for m in voter_set)[(len(voter_set) - 1) // 2]
+            sorted(times.get(m.disk, LONG_AGO) for m in voter_set)[(len(voter_set) - 1) // 2]
             if voter_set
-            else NEVER
+            else LONG_AGO
             for voter_set in self._voter_sets()
         )
 
--- a/gateway/consensus/follower.py
+++ b/gateway/consensus/follower.py
@@ -5,9 +5,9 @@
 from gateway.consensus import consensus_pb2 as pb
 from gateway.consensus.codec import base_position, entry_position, get_entry
 from gateway.consensus.election_timer import ElectionTimer
-from gateway.consensus.entry import NEVER, NO_POSITION, LogPosition
+from gateway.consensus.entry import NO_POSITION, LogPosition
 from gateway.consensus.replica import Replica
-from gateway.state_machine import Address
+from gateway.state_machine import LONG_AGO, Address
 
 SCALE_RESET_S = 10.0  # for which an unrequested timeout scale stays on disk; no promise lasts that long
 
@@ -24,13 +24,13 @@
         self.timer = timer
         self.leader: Address | None = None
         self.leader_disk = ""
-        self.last_heartbeat_at = NEVER
+        self.last_heartbeat_at = LONG_AGO
         self.heartbeat_sent_at = 0.0  # when the leader sent the newest heartbeat, by the leader's clock
         self.vote_withheld_until = now
         self.promised_scale = 1.0  # that the response to the newest heartbeat promises
         self.scale_requested_at = now  # when a heartbeat last asked for a scale, or may have before a restart
         # When the newest response was sent that a leader, while it held its lease, has confirmed.
-        self.confirmed_reply_at = NEVER
+        self.confirmed_reply_at = LONG_AGO
         self.commit_position = NO_POSITION  # newest position that a leader has said is committed
         self.leaving = leaving  # others are to be members in its place; said in each response
 
@@ -72,7 +72,7 @@
         """
         known = self.replica.committed_entry
         if known is None or known.term != self.replica.term or known.position < self.commit_position:
-            return NEVER
+            return LONG_AGO
         return self.confirmed_reply_at + self.replica.tuning.election_max_s * self.timer.requested_scale
 
     def send_append_response(
--- a/gateway/consensus/peer.py
+++ b/gateway/consensus/peer.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from gateway.consensus.entry import NEVER, LogPosition, Member
+from gateway.consensus.entry import LogPosition, Member
+from gateway.state_machine import LONG_AGO
 
 
 class Peer:
@@ -36,13 +37,13 @@
         self.disk = member.disk
         self.address = member.address
         self.added_at = now
-        self.last_heard_at = NEVER
-        self.acknowledged_at = NEVER  # when the newest heartbeat that it has acknowledged was sent
-        self.vote_withheld_until = NEVER  # from other candidates, less a safety margin
+        self.last_heard_at = LONG_AGO
+        self.acknowledged_at = LONG_AGO  # when the newest heartbeat that it has acknowledged was sent
+        self.vote_withheld_until = LONG_AGO  # from other candidates, less a safety margin
         self.replied_at = 0.0  # when its newest response was sent, by its clock; 0: there is none
         self.last_position: LogPosition | None = None  # newest entry that it holds
         self.durable_position: LogPosition | None = None  # newest entry that it has on disk
         self.resend_at = 0.0  # when the newest entry is resent
         self.resend_wait_s = resend_wait_s  # the backoff after that
-        self.bare_entry_sent_at = NEVER  # when an entry without its value was sent
+        self.bare_entry_sent_at = LONG_AGO  # when an entry without its value was sent
         self.leaving = False  # by its newest response, it is leaving the members
--- a/gateway/consensus/replication.py
+++ b/gateway/consensus/replication.py
@@ -7,9 +7,10 @@
 from gateway.consensus import consensus_pb2 as pb
 from gateway.consensus.codec import durable_position, last_position, put_entry
 from gateway.consensus.election_timer import ElectionTimer
-from gateway.consensus.entry import NEVER, Entry, LogPosition
+from gateway.consensus.entry import Entry, LogPosition
 from gateway.consensus.peer import Peer
 from gateway.consensus.replica import Replica
+from gateway.state_machine import LONG_AGO
 
 MAX_PAST_MEMBERS = 256  # disks
 MAX_INTERVAL_SCALE = 2.5  # on slow links the intervals of heartbeats and retries grow by at most this factor
@@ -33,7 +34,7 @@
         self.same_value_position: LogPosition | None = None  # of an entry with the newest entry's value
         self.next_heartbeat_at = now
         self.transfer_since: float | None = None  # since when a leadership transfer is intended
-        self.lease_until = NEVER
+        self.lease_until = LONG_AGO
 
     @property
     def newest_entry_committed(self) -> bool:
@@ -56,7 +57,7 @@
         known = self.replica.committed_entry
         knows_newest = known is not None and known.term == self.replica.term
         if not knows_newest or self.transfer_since is not None or not self.replica.is_voter:
-            return NEVER
+            return LONG_AGO
         return self.lease_until
 
     def has_lost_quorum(self, now: float) -> bool:
@@ -92,7 +93,7 @@
         self._extend_promise(now, peer, message)
         lacks_entry = peer.last_position != self.replica.entry.position
         if lacks_entry and message.sent_at == peer.bare_entry_sent_at:  # it lacks the value too
-            peer.bare_entry_sent_at = NEVER
+            peer.bare_entry_sent_at = LONG_AGO
             self.send_entry(now, peer, with_value=True)
         return True
 
--- a/gateway/drift/detector.py
+++ b/gateway/drift/detector.py
@@ -24,7 +24,7 @@
     Rebuild,
     RefusalChanged,
 )
-from gateway.state_machine import Address
+from gateway.state_machine import LONG_AGO, Address
 
 # Of `apply_s`: after a newer version is known for so long, the node isn't ready, then requests are rejected.
 UNREADY_RATIO = 0.4
@@ -44,7 +44,6 @@
 MAX_TEXT_LENGTH = 120  # characters of a value in them
 MAX_KNOWN_FINDINGS = 256  # findings that aren't reported again,
 FINDING_RETENTION_S = 600.0  # until they weren't found for so long
-LONG_AGO = -1e9  # before any time of a monotonic clock, in seconds
 
 # Why requests are rejected.
 CORE_NOT_HEARD = "the core has yet to be heard"  # right after a start
--- a/gateway/drift/fleet_status.py
+++ b/gateway/drift/fleet_status.py
@@ -10,8 +10,7 @@
 from gateway.state_machine import Address
 
 MAX_NODES = 4096  # further ones are ignored
-NODE_TIMEOUT_S = 10.0  # without a report for so long a node is shown as silent,
-NODE_RETENTION_S = 120.0  # and then forgotten
+NODE_RETENTION_S = 120.0  # without a report for so long a node is forgotten
 CONTACT_GAP_S = 2.5  # between two reports of a node that counts as in touch
 CHECK_INTERVAL_S = 0.5  # between two searches for nodes that are behind
 MAX_VERSIONS = 32  # acknowledged versions whose time is remembered
--- a/gateway/membership/backend_table.py
+++ b/gateway/membership/backend_table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from math import inf
 
 from gateway.membership.codec import FINAL_SEQUENCE, BackendRecord, EndRecord, LeaseRecord, ReleaseRecord
@@ -79,6 +79,14 @@
         self.release_all(now, source, leased)
         return changes
 
+    def apply_update(
+        self, now: float, source: Address, is_snapshot: bool, records: Sequence[BackendRecord]
+    ) -> list[BackendChange]:
+        """Apply what was received of a source's log: new records, or a snapshot of all."""
+        if is_snapshot:
+            return self.snapshot(now, source, records)
+        return [change for record in records for change in self.record(now, source, record)]
+
     def release_all(self, at: float, source: Address, still_leased: Iterable[str] = ()) -> None:
         """From the time `at` on, a source has leases only on the backends in `still_leased`."""
         kept = set(still_leased)
--- a/gateway/membership/codec.py
+++ b/gateway/membership/codec.py
@@ -121,10 +121,7 @@
     Raises:
         MalformedValueError: The bytes aren't one.
     """
-    try:
-        message = pb.Members.FromString(data)
-    except DecodeError as error:
-        raise MalformedValueError("list of the core's members", len(data)) from error
+    message = _parse_members(data, "list of the core's members")
     members = tuple(map(unpack_address, message.addresses))
     has_leader = 0 < message.leader <= len(members)
     return CoreList(members, members[message.leader - 1] if has_leader else "")
@@ -150,11 +147,15 @@
     Raises:
         MalformedValueError: The bytes aren't one.
     """
+    message = _parse_members(data, "list of ingresses")
+    return [ZonedAddress(number & 0xFFF, unpack_address(number >> 12)) for number in message.addresses]
+
+
+def _parse_members(data: bytes, kind: str) -> pb.Members:
     try:
-        message = pb.Members.FromString(data)
+        return pb.Members.FromString(data)
     except DecodeError as error:
-        raise MalformedValueError("list of ingresses", len(data)) from error
-    return [ZonedAddress(number & 0xFFF, unpack_address(number >> 12)) for number in message.addresses]
+        raise MalformedValueError(kind, len(data)) from error
 
 
 def fill_reply(reply: pb.FollowReply, now: float, records: Iterable[Record]) -> None:
--- a/gateway/membership/controller.py
+++ b/gateway/membership/controller.py
@@ -28,7 +28,6 @@
 from gateway.membership.membership_pb2 import Follow, Message
 from gateway.membership.outputs import (
     Acknowledged,
-    BackendRemoved,
     ControllerOutput,
     RunningConfig,
     ValueUpdated,
@@ -90,7 +89,7 @@
             case Heartbeat():
                 return self._on_heartbeat(now, event)
             case Deregistration():
-                return self._reconcile_removed(now, self.leases.on_deregistration(now, event))
+                return [*self.leases.on_deregistration(now, event)]
             case Publish():
                 self._publish(event)
             case SetCore(addresses):
@@ -108,7 +107,7 @@
 
     def _on_heartbeat(self, now: float, heartbeat: Heartbeat) -> list[ControllerOutput]:
         """Handle a backend's heartbeat; one that is acknowledged at once gets a target for the next ones."""
-        outputs = self._reconcile_removed(now, self.leases.on_heartbeat(now, heartbeat))
+        outputs: list[ControllerOutput] = [*self.leases.on_heartbeat(now, heartbeat)]
         acknowledged = Acknowledged(heartbeat.token)
         if heartbeat.draining or acknowledged not in outputs:
             return outputs
@@ -147,16 +146,13 @@
     def _apply_log_update(self, now: float, update: LogUpdate) -> list[ControllerOutput]:
         """Apply an update of another controller's log, and bring the own log in line with it."""
         backends = [r for r in update.records if not isinstance(r, ValueRecord)]
-        outputs: list[ControllerOutput] = []
-        if update.snapshot:
-            outputs += self.table.snapshot(now, update.source, backends)
-        else:
-            for record in backends:
-                outputs += self.table.record(now, update.source, record)
+        outputs: list[ControllerOutput] = [
+            *self.table.apply_update(now, update.source, update.snapshot, backends)
+        ]
         for record in backends:
             backend_id = record.backend.id if isinstance(record, LeaseRecord) else record.id
             outputs += self.leases.reconcile(now, backend_id)
-        outputs = self._reconcile_removed(now, outputs)
+        outputs = self.leases.reconcile_removed(now, outputs)
         for value in update.records:
             # Configurations come by consensus.
             if isinstance(value, ValueRecord) and value.kind != ValueKind.CONFIG:
@@ -171,14 +167,6 @@
             self.value_fetcher.accept(record.kind, record.fencing_token, record.data, record.digest)
         )
 
-    def _reconcile_removed(self, now: float, outputs: Sequence[ControllerOutput]) -> list[ControllerOutput]:
-        """After backends were removed: end their leases, and record that in the own log."""
-        reconciled: list[ControllerOutput] = list(outputs)
-        for output in outputs:
-            if isinstance(output, BackendRemoved):
-                reconciled += self.leases.reconcile(now, output.id)
-        return reconciled
-
     def _apply_values(self, values: list[ValueUpdated]) -> list[ControllerOutput]:
         """Output values of others, and publish them in the own log too, except configurations."""
         for value in values:
@@ -210,12 +198,12 @@
     def _tick(self, now: float) -> list[ControllerOutput]:
         quorate = self.log.quorate(now)
         self.targets.tick(now, quorate)
-        outputs = self._reconcile_removed(now, self.leases.tick(now, quorate))
+        outputs: list[ControllerOutput] = [*self.leases.tick(now, quorate)]
         self.log.unreachable = [codec.address_hash(a) for a in self.follower.unresponsive(now)]
         for source, last_heard_at in self.follower.lost(now, self.table.grace_s):
             self.table.release_all(last_heard_at, source)
         suspicions_known = bool(self.follower.suspicions(now)) or not self.follower.sources
-        outputs += self._reconcile_removed(now, self.table.tick(now, suspicions_known))
+        outputs += self.leases.reconcile_removed(now, self.table.tick(now, suspicions_known))
         return [
             *outputs,
             *self.follower.tick(now),
--- a/gateway/membership/leases.py
+++ b/gateway/membership/leases.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Collection
-from typing import NamedTuple
+from collections.abc import Collection, Sequence
+from typing import NamedTuple, TypeVar
 
 from gateway.membership.backend_table import (
     MAX_TICK_GAP_S,
@@ -28,6 +28,8 @@
 MAX_CAPACITY = (1 << 32) - 1
 SELF = ""  # this process as a source of its own table
 
+T = TypeVar("T")
+
 
 class Lease:
     """A backend as of its newest heartbeat received here, and until when the lease lasts without another."""
@@ -134,7 +136,7 @@
             self.log.put(backend.id, LeaseRecord(row.backend))
         else:  # its address is another's by now
             self.leases.pop(backend.id, None)
-        return self._reconcile_removed(now, changes)
+        return self.reconcile_removed(now, changes)
 
     def on_deregistration(self, now: float, call: Deregistration) -> list[CallAnswer | BackendChange]:
         """A backend says that it has ended: publish that, and answer when a majority has it."""
@@ -222,13 +224,13 @@
             self.table.tombstones.get(backend_id),
         )
 
-    def _reconcile_removed(self, now: float, changes: list[BackendChange]) -> list[BackendChange]:
-        """After backends were removed: record that in the own log too."""
-        outputs = list(changes)
-        for change in changes:
-            if isinstance(change, BackendRemoved):
-                outputs += self.reconcile(now, change.id)
-        return outputs
+    def reconcile_removed(self, now: float, outputs: Sequence[T]) -> list[T | BackendChange]:
+        """After outputs that remove backends: end their leases, and record that in the own log."""
+        reconciled: list[T | BackendChange] = list(outputs)
+        for output in outputs:
+            if isinstance(output, BackendRemoved):
+                reconciled += self.reconcile(now, output.id)
+        return reconciled
 
     def _await_majority(self, now: float, token: CallToken, number: int) -> list[CallAnswer]:
         """Answer a call once a majority of the core has the log up to this number."""
--- a/gateway/membership/log_follower.py
+++ b/gateway/membership/log_follower.py
@@ -8,7 +8,7 @@
 from gateway.membership import codec
 from gateway.membership import membership_pb2 as pb
 from gateway.membership.codec import Record
-from gateway.state_machine import Address, Send
+from gateway.state_machine import LONG_AGO, Address, Send
 
 HEARTBEAT_S = 0.4  # between two heartbeats to a source
 SLOW_HEARTBEAT_S = 1.0  # to a source that has been silent for `SLOW_AFTER_S`
@@ -20,7 +20,6 @@
 # After a change, and to unresponsive sources, each heartbeat reports the running configuration;
 REPORT_S = 2.0
 REPORT_EVERY = 2  # otherwise one heartbeat in so many does
-LONG_AGO = -1e9  # before any time of a steady clock, in seconds
 NO_ZONE = -1
 
 
--- a/gateway/membership/peer_view.py
+++ b/gateway/membership/peer_view.py
@@ -10,7 +10,7 @@
 from gateway.membership.codec import pack_address, unpack_address
 from gateway.membership.outputs import ConfigAdvertised, CoreMembers, GossipOutput
 from gateway.membership.types import Role
-from gateway.state_machine import Address, FencingToken, Send
+from gateway.state_machine import LONG_AGO, Address, FencingToken, Send
 
 VIEW_SIZE = 8
 SHUFFLE_INTERVAL_S = 1.0  # between two shuffles
@@ -23,7 +23,6 @@
 MAX_AGE = 255  # shuffles
 MAX_SHUFFLE_NUMBER = 0xFFFF
 DIGEST_BYTES = 8
-LONG_AGO = -1e9  # before any time of a steady clock, in seconds
 
 PackedAddress = int
 """48 bits: IPv4 address and port."""
--- a/gateway/membership/proxy.py
+++ b/gateway/membership/proxy.py
@@ -117,13 +117,8 @@
 
     def _apply_log_update(self, now: float, update: LogUpdate) -> list[ProxyOutput]:
         """Apply an update of a controller's log."""
-        outputs: list[ProxyOutput] = []
         backends = [r for r in update.records if not isinstance(r, ValueRecord)]
-        if update.snapshot:
-            outputs += self.table.snapshot(now, update.source, backends)
-        else:
-            for record in backends:
-                outputs += self.table.record(now, update.source, record)
+        outputs: list[ProxyOutput] = [*self.table.apply_update(now, update.source, update.snapshot, backends)]
         for value in update.records:
             if isinstance(value, ValueRecord):
                 outputs += self._apply_value_record(now, update.source, value)
--- a/gateway/membership/value_transfer.py
+++ b/gateway/membership/value_transfer.py
@@ -6,13 +6,12 @@
 from gateway.membership import membership_pb2 as pb
 from gateway.membership.codec import ValueRecord
 from gateway.membership.outputs import ValueUpdated
-from gateway.state_machine import Address, FencingToken, Send
+from gateway.state_machine import LONG_AGO, Address, FencingToken, Send
 
 OTHER_ZONE_DELAY_S = 0.1  # before a source in another zone is asked; one in this zone may have it by then
 FETCH_RETRY_S = 0.5  # until another source is asked if no value has come
 MAX_SOURCES = 16
 OLDEST = FencingToken(-1, -1)
-LONG_AGO = -1e9  # before any time of a steady clock, in seconds
 
 
 class _PendingFetch:
--- a/gateway/programs/control_api.py
+++ b/gateway/programs/control_api.py
@@ -17,14 +17,12 @@
 from gateway.consensus.outputs import ProposalOutcome
 from gateway.membership.events import Deregistration, Heartbeat
 from gateway.membership.types import CallToken
+from gateway.programs.paths import BACKENDS, CONFIG
 from gateway.runtime import config_events
 from gateway.runtime.address import host_port
-from gateway.runtime.http_listener import HttpCall, Reply
-from gateway.state_machine import Address
+from gateway.runtime.http_call import JSON, HttpCall, Reply
+from gateway.state_machine import LONG_AGO, Address
 
-CONFIG = "/-/config"
-BACKENDS = "/-/backends/"
-JSON = b"Content-Type: application/json\r\n"
 CALL_TIMEOUT_S = 0.7  # how long a call waits for a leader, for its base, and for another attempt
 NO_LEADER_TIMEOUT_S = 1.5  # without a leader for so long calls don't wait: an election takes less
 PROPOSAL_TIMEOUT_S = 10.0  # after which the outcome of a proposal counts as unknown
@@ -35,7 +33,6 @@
 MAX_CAPACITY = 1 << 31
 MAX_SEQUENCE = 1 << 63
 INVALID_HEARTBEAT = b"no beat: an object with target, address, zone, phase and call-seq"
-NEVER = float("-inf")  # before any time of a monotonic clock, in seconds
 
 
 class ConsensusCore(Protocol):
@@ -95,7 +92,7 @@
         self.postponed_at_version = 0  # the version in force when they were postponed
         self.in_flight: InFlightChange | None = None
         self.token = 0
-        self.rejected_at = NEVER  # last rejected proposal: the next one waits for a later `now`
+        self.rejected_at = LONG_AGO  # last rejected proposal: the next one waits for a later `now`
         self.pending_heartbeats: dict[CallToken, Reply] = {}
         self.leader_known_at: float | None = None  # when a leader was last known, here or elsewhere
         self.completed = 0  # changes acknowledged
--- a/gateway/programs/controller_node.py
+++ b/gateway/programs/controller_node.py
@@ -28,7 +28,8 @@
 from gateway.membership.types import ValueKind
 from gateway.programs import startup, status_report
 from gateway.programs.control_api import ControlApi
-from gateway.programs.fleet_monitor import JSON, FleetMonitor
+from gateway.programs.fleet_monitor import FleetMonitor
+from gateway.programs.paths import CORE, LEASES
 from gateway.programs.quota_report import OwnerReport
 from gateway.programs.startup import CONSENSUS, MEMBERSHIP, QUOTA
 from gateway.quota import events as quota_events
@@ -38,7 +39,7 @@
 from gateway.quota.shard_owner import ShardOwner
 from gateway.quota.window import Window
 from gateway.runtime import config_events
-from gateway.runtime.http_listener import HttpCall, Reply
+from gateway.runtime.http_call import JSON, HttpCall, Reply
 from gateway.runtime.settings import Settings
 from gateway.state_machine import Address, FencingToken, Send
 
@@ -284,17 +285,16 @@
         """Pass the tenants' rates and bursts of the document to the shard owner."""
         document = self.config_state.document
         if document is not None:
-            tenants = {t.label: quota_events.RateLimit(t.rate, t.burst) for t in document.tenants.values()}
-            self.handle_shard_owner(quota_events.Allowances(tenants))
+            self.handle_shard_owner(quota_events.Allowances.of(document.tenants.values()))
 
     def answer(self, http_call: HttpCall, reply: Reply) -> None:
         """Answer an HTTP call to `control`."""
         now = self.clock()
         path = http_call.path.partition("?")[0]
-        if http_call.method == "GET" and path == status_report.CORE:
+        if http_call.method == "GET" and path == CORE:
             reply(HTTPStatus.OK, JSON, json.dumps(status_report.core(self.raft, now)).encode())
             return
-        if http_call.method == "GET" and path == status_report.LEASES:
+        if http_call.method == "GET" and path == LEASES:
             reply(HTTPStatus.OK, JSON, json.dumps(status_report.leases(self.membership, now)).encode())
             return
         leader = {"leader": self.raft.leader, "quorate": self.membership.log.quorate(now)}
--- a/gateway/programs/drift_monitor.py
+++ b/gateway/programs/drift_monitor.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import json
 import logging
 from typing import Protocol, assert_never
 
@@ -15,12 +14,12 @@
 from gateway.drift.detector import CORE_NOT_HEARD, DriftDetector
 from gateway.drift.events import Check
 from gateway.drift.live_check import CheckResult, LiveCheck, running_digest
-from gateway.drift.metrics import CONTENT_TYPE, Metric, render_metrics
+from gateway.drift.metrics import Metric
 from gateway.membership.log_follower import ConfirmedConfig
 from gateway.membership.outputs import ConfigAdvertised
-from gateway.programs.fleet_monitor import JSON, METRICS, STATUS
-from gateway.programs.quota_report import QUOTA_METRIC_PREFIX, QuotaReport
-from gateway.runtime.http_listener import HttpCall, Reply
+from gateway.programs.quota_report import QuotaReport
+from gateway.programs.status_endpoint import answer_status_call
+from gateway.runtime.http_call import HttpCall, Reply
 from gateway.runtime.settings import Bounds
 from gateway.state_machine import Address
 
@@ -199,20 +198,8 @@
 
     def answer(self, http_call: HttpCall, reply: Reply, quota_report: QuotaReport) -> bool:
         """Answer a call for status or metrics, with those of `quota_report`; False if it is another call."""
-        path = http_call.path.partition("?")[0]
-        if http_call.method != "GET" or path not in (STATUS, METRICS):
-            return False
-        if path == METRICS:
-            reply(
-                200,
-                CONTENT_TYPE,
-                render_metrics(self.metrics())
-                + render_metrics(quota_report.metrics(self.node.clock()), QUOTA_METRIC_PREFIX),
-            )
-        else:
-            fields = {**self.status(), **quota_report.status(self.node.clock())}
-            reply(200, JSON, json.dumps(fields).encode())
-        return True
+        now = self.node.clock()
+        return answer_status_call(now, http_call, reply, self.status, self.metrics, quota_report)
 
     def status(self) -> dict[str, object]:
         """The JSON object of `GET /-/status`. Times are seconds."""
--- a/gateway/programs/fleet_monitor.py
+++ b/gateway/programs/fleet_monitor.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import json
 import logging
 from collections.abc import Callable, Mapping, Sequence
 
@@ -10,17 +9,15 @@
 from gateway.drift import events as drift_events
 from gateway.drift.detector import DriftDetector
 from gateway.drift.fleet_status import FleetStatus
-from gateway.drift.metrics import CONTENT_TYPE, Metric, render_metrics
+from gateway.drift.metrics import Metric
 from gateway.drift.outputs import DetectorOutput, Finding, Rebuild
 from gateway.drift.quota_windows import Windows, expected_windows, quota_differences
 from gateway.membership.outputs import ConfigAdvertised, RunningConfig
-from gateway.programs.quota_report import QUOTA_METRIC_PREFIX, QuotaReport
-from gateway.runtime.http_listener import HttpCall, Reply
+from gateway.programs.quota_report import QuotaReport
+from gateway.programs.status_endpoint import answer_status_call
+from gateway.runtime.http_call import HttpCall, Reply
 from gateway.state_machine import Address
 
-STATUS = "/-/status"
-METRICS = "/-/metrics"
-JSON = b"Content-Type: application/json\r\n"
 CHECK_INTERVAL_S = 1.0  # between two checks of the quotas in force
 MAX_NODES_SHOWN = 1024  # nodes in one answer
 
@@ -104,19 +101,14 @@
 
         `more` is added to the status, `quota_report` to both.
         """
-        path = http_call.path.partition("?")[0]
-        if http_call.method != "GET" or path not in (STATUS, METRICS):
-            return False
-        if path == METRICS:
-            reply(
-                200,
-                CONTENT_TYPE,
-                render_metrics(self.metrics(now))
-                + render_metrics(quota_report.metrics(now), QUOTA_METRIC_PREFIX),
-            )
-        else:
-            reply(200, JSON, json.dumps({**self.status(now), **more, **quota_report.status(now)}).encode())
-        return True
+        return answer_status_call(
+            now,
+            http_call,
+            reply,
+            lambda: {**self.status(now), **more},
+            lambda: self.metrics(now),
+            quota_report,
+        )
 
     def status(self, now: float) -> dict[str, object]:
         """The JSON object of `GET /-/status`: all known nodes, and findings reported or made here."""
--- a/gateway/programs/proxy.py
+++ b/gateway/programs/proxy.py
@@ -16,7 +16,8 @@
 from gateway.programs.startup import MEMBERSHIP, QUOTA
 from gateway.quota.quota_pb2 import Message as QuotaMessage
 from gateway.runtime.clock import steady
-from gateway.runtime.http_listener import HttpCall, HttpListener, Reply
+from gateway.runtime.http_call import HttpCall, Reply
+from gateway.runtime.http_listener import HttpListener
 from gateway.runtime.log_ring import LogRing
 from gateway.runtime.peer_transport import PeerTransport, Plane
 from gateway.runtime.settings import Settings, SettingsFile
--- a/gateway/programs/proxy_node.py
+++ b/gateway/programs/proxy_node.py
@@ -222,8 +222,7 @@
             config_state.document, None if afresh else self.compiled_config
         )
         self.expected = ExpectedDigests(config_state.document, None if afresh else self.expected)
-        tenants = {t.label: quota_events.RateLimit(t.rate, t.burst) for t in compiled_config.tenants.values()}
-        self.handle_quota(quota_events.Allowances(tenants))
+        self.handle_quota(quota_events.Allowances.of(compiled_config.tenants.values()))
         limits = compiled_config.limits
         self.driver.limit(
             Limits(limits.max_header_bytes, limits.max_body_bytes, limits.header_timeout, limits.idle_timeout)
--- a/gateway/programs/status_report.py
+++ b/gateway/programs/status_report.py
@@ -6,8 +6,6 @@
 from gateway.consensus.raft import RaftNode
 from gateway.membership.controller import ControllerMembership
 
-CORE = "/-/core"
-LEASES = "/-/leases"
 Row = dict[str, object]
 
 
--- a/gateway/quota/events.py
+++ b/gateway/quota/events.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection, Mapping
-from typing import NamedTuple
+from collections.abc import Collection, Iterable, Mapping
+from typing import NamedTuple, Protocol
 
 from gateway.quota.quota_pb2 import Message
 from gateway.state_machine import Address
@@ -34,11 +34,32 @@
     burst: float
 
 
+class LimitedTenant(Protocol):
+    """A tenant of the configuration, as far as its limit goes."""
+
+    @property
+    def label(self) -> str:
+        """Its name."""
+
+    @property
+    def rate(self) -> float:
+        """Units a second; 0: no limit."""
+
+    @property
+    def burst(self) -> float:
+        """Units beyond the rate."""
+
+
 class Allowances(NamedTuple):
     """Raised when a configuration is applied: the tenants' limits by label."""
 
     tenants: Mapping[str, RateLimit]
 
+    @classmethod
+    def of(cls, tenants: Iterable[LimitedTenant]) -> Allowances:
+        """The allowances of these tenants."""
+        return cls({tenant.label: RateLimit(tenant.rate, tenant.burst) for tenant in tenants})
+
 
 class ChargeRequest(NamedTuple):
     """Raised when a request wants to be admitted.
--- a/gateway/quota/local_quota.py
+++ b/gateway/quota/local_quota.py
@@ -6,10 +6,10 @@
 
 from __future__ import annotations
 
-from gateway.quota.protocol import FULL_SHARE, LONG_AGO, LOWEST_PRECEDENCE, SHARE_S, VerdictCode
+from gateway.quota.protocol import FULL_SHARE, LOWEST_PRECEDENCE, SHARE_S, VerdictCode
 from gateway.quota.quota_pb2 import Verdict
 from gateway.quota.window import Window
-from gateway.state_machine import Address
+from gateway.state_machine import LONG_AGO, Address
 
 INITIAL_CREDIT_WINDOWS = 0.3
 """Windows' worth of the share that can be spent at once if the owner falls silent without over-demand."""
--- a/gateway/quota/owner_links.py
+++ b/gateway/quota/owner_links.py
@@ -8,9 +8,9 @@
 
 from gateway.quota.client_count import ClientCountBound
 from gateway.quota.local_quota import LocalQuota
-from gateway.quota.protocol import CLIENT_HEARTBEAT_S, LONG_AGO, SHARDS, shard_of
+from gateway.quota.protocol import CLIENT_HEARTBEAT_S, SHARDS, shard_of
 from gateway.quota.quota_pb2 import ClientHeartbeat, ClientHeartbeatReply, Message, ShardMap
-from gateway.state_machine import Address, FencingToken, Send
+from gateway.state_machine import LONG_AGO, Address, FencingToken, Send
 
 MAX_MISSED_REPLIES = 2  # unanswered messages in a row after which an owner counts as unresponsive
 IDLE_HEARTBEAT_S = 1.0  # interval of heartbeats to an owner that gets charges all the time or gave no share
--- a/gateway/quota/protocol.py
+++ b/gateway/quota/protocol.py
@@ -16,7 +16,6 @@
 SHARE_S = 12.0  # lifetime of a share, from when the charge was sent whose verdict granted or renewed it
 CLIENT_HEARTBEAT_S = 0.2  # interval of a quota client's heartbeats to an owner that gets nothing else from it
 CLIENT_TIMEOUT_S = 0.45  # a quota client not heard for this long is taken to admit by its shares
-LONG_AGO = -1e9  # before any time of a steady clock, in seconds
 NEVER = 1e18  # a time that doesn't come, in seconds
 
 _HEX_ATTEMPT_LENGTH = 16
--- a/gateway/quota/shard_assigner.py
+++ b/gateway/quota/shard_assigner.py
@@ -9,7 +9,7 @@
 from gateway.quota.outputs import AssignerOutput, PublishShardMap
 from gateway.quota.protocol import ALL_SHARDS, LEASE_MARGIN_S, LEASE_S, SHARDS
 from gateway.quota.quota_pb2 import LeaseGrant, LeaseRequest, Message, ShardMap
-from gateway.state_machine import Address, FencingToken, Send
+from gateway.state_machine import LONG_AGO, Address, FencingToken, Send
 
 PRESENT_S = 1.0  # a candidate that requested its lease this lately is present
 STABLE_S = 2.0  # after this long without a gap in its requests, shards are moved to it from other owners
@@ -19,7 +19,6 @@
 MAX_EARLY_REQUESTS = 16  # such requests kept
 MAX_CACHED_ASSIGNMENTS = 32  # assignments cached, by the set of candidates
 NO_OWNER = 255  # in a published shard map: index of a shard without an owner
-LONG_AGO = -10.0  # before any time at which a lease counts
 
 
 class OwnerCandidate:
--- /dev/null
+++ b/gateway/runtime/http_call.py
@@ -0,0 +1,21 @@
+"""A complete HTTP call, as listeners hand it over and clients send it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+JSON = b"Content-Type: application/json\r\n"
+"""Header line of an answer with a JSON body."""
+
+
+class HttpCall(NamedTuple):
+    """A complete HTTP request: method, path with query, body."""
+
+    method: str
+    path: str
+    body: bytes
+
+
+Reply = Callable[[int, bytes, bytes], None]
+"""Answers a call, once: status, header lines, body. Does nothing if the caller has disconnected."""
--- a/gateway/runtime/http_listener.py
+++ b/gateway/runtime/http_listener.py
@@ -9,8 +9,8 @@
 import itertools
 from collections.abc import Callable, Iterator
 from http import HTTPStatus
-from typing import NamedTuple
 
+from gateway.runtime.http_call import HttpCall, Reply
 from ingress import interface as io
 from ingress.net.client import ClientConnection
 from ingress.net.connection_interfaces import ImmediateResponse, Limits
@@ -25,18 +25,6 @@
 EMPTY_REQUEST = io.Request("", "", "", 0, 3600.0, 0.0)
 
 
-class HttpCall(NamedTuple):
-    """A complete HTTP request: method, path with query, body."""
-
-    method: str
-    path: str
-    body: bytes
-
-
-Reply = Callable[[int, bytes, bytes], None]
-"""Answers a call, once: status, header lines, body. Does nothing if the caller has disconnected."""
-
-
 class HttpCallHandler:
     """Passes complete calls to a function and its answers to the callers.
 
--- a/gateway/state_machine.py
+++ b/gateway/state_machine.py
@@ -10,6 +10,10 @@
 """`ip:port` of a process's own port, where it receives messages of other processes (UDP and TCP)."""
 
 
+LONG_AGO = -1e9
+"""Before any time of a process's monotonic clock, in seconds."""
+
+
 class FencingToken(NamedTuple):
     """Orders what successive leaders publish and grant: by term, and within a term by number.
 
--- a/simulation/capacity/agreement.py
+++ b/simulation/capacity/agreement.py
@@ -6,8 +6,9 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
+from gateway.programs.paths import CONFIG
 from gateway.quota.decision_statistics import DECISION_LABELS
-from gateway.runtime.http_listener import HttpCall
+from gateway.runtime.http_call import HttpCall
 from simulation.capacity import design, documents
 from simulation.capacity.fleet import Fleet, FleetError, FleetSize
 from simulation.capacity.isolation import isolated
@@ -165,7 +166,7 @@
     entry["spec"]["target"] = fleet.spec.services[0].name
     body = json.dumps(documents.patch(generation, entry)).encode()
     process.enter(
-        process.answer, HttpCall("PATCH", "/-/config", body), lambda code, lines, answer: status.append(code)
+        process.answer, HttpCall("PATCH", CONFIG, body), lambda code, lines, answer: status.append(code)
     )
     return status
 
--- a/simulation/capacity/budget.py
+++ b/simulation/capacity/budget.py
@@ -7,8 +7,7 @@
 from typing import Final
 
 from gateway.cli.status_client import MAX_BODY_BYTES
-from gateway.programs.fleet_monitor import STATUS
-from gateway.programs.status_report import LEASES
+from gateway.programs.paths import LEASES, STATUS
 from gateway.quota.client_registry import MAX_CLIENTS
 from gateway.runtime.tcp_links import MAX_OUTBOUND_LINKS, OUTBOUND_IDLE_S
 from simulation.capacity import design, programs, remedies
--- a/simulation/capacity/configuration.py
+++ b/simulation/capacity/configuration.py
@@ -80,8 +80,7 @@
             f"{prefix}: compile the matchers", lambda: CompiledConfig(document, self.compiled_config)
         )
         expected = watch.run(f"{prefix}: digests", lambda: ExpectedDigests(document, self.expected))
-        tenants = {t.label: quota_events.RateLimit(t.rate, t.burst) for t in compiled_config.tenants.values()}
-        allowances = quota_events.Allowances(tenants)
+        allowances = quota_events.Allowances.of(compiled_config.tenants.values())
         watch.run(f"{prefix}: allowances", lambda: self.quota_client.handle(0.0, allowances))
         self.quota_windows = watch.run(
             f"{prefix}: planned quotas", lambda: expected_windows(document, QUOTA_SPAN_S)
@@ -157,8 +156,8 @@
     document = _present(config_state.document)
     expected = watch.run("controller: digests", lambda: ExpectedDigests(document))
     shard_owner = ShardOwner(QUOTA_SPAN_S, random.Random(1))
-    tenants = {t.label: quota_events.RateLimit(t.rate, t.burst) for t in document.tenants.values()}
-    watch.run("controller: allowances", lambda: shard_owner.handle(0.0, quota_events.Allowances(tenants)))
+    allowances = quota_events.Allowances.of(document.tenants.values())
+    watch.run("controller: allowances", lambda: shard_owner.handle(0.0, allowances))
     if with_memory:
         add_sample("controller: memory", "MB", resident_mb() - before)
     add_sample("configuration as JSON", "bytes", len(body))
--- a/simulation/capacity/growth.py
+++ b/simulation/capacity/growth.py
@@ -8,9 +8,8 @@
 from time import thread_time
 from typing import Any, NamedTuple
 
-from gateway.programs.fleet_monitor import STATUS
-from gateway.programs.status_report import LEASES
-from gateway.runtime.http_listener import HttpCall
+from gateway.programs.paths import LEASES, STATUS
+from gateway.runtime.http_call import HttpCall
 from simulation.capacity import design
 from simulation.capacity.configuration import resident_mb
 from simulation.capacity.fleet import Fleet, FleetError, FleetSize
--- a/simulation/capacity/programs.py
+++ b/simulation/capacity/programs.py
@@ -14,6 +14,7 @@
 
 import numpy as np
 
+from gateway.programs.paths import CONFIG
 from simulation.capacity import documents
 from simulation.capacity.samples import Sample
 from simulation.loopback import http_clients
@@ -127,7 +128,7 @@
     controls = [machine.address("control") for machine in cluster.core]
     ends = time.monotonic() + WAIT_S
     while time.monotonic() < ends:
-        answer, _ = await http_clients.control(controls, "PUT", "/-/config", body, rng, WAIT_S)
+        answer, _ = await http_clients.control(controls, "PUT", CONFIG, body, rng, WAIT_S)
         if answer.status == 200:
             return base + 1
         await asyncio.sleep(0.3)
--- a/simulation/checkers/requests.py
+++ b/simulation/checkers/requests.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from gateway.http_status import is_success
 from simulation.checkers.history import RuleViolation, RunHistory, limit_findings
 
 PROMISES = (429, 503, 408, 421)  # statuses that promise that the request was not run and never will be
@@ -47,7 +48,7 @@
     found = [
         RuleViolation("MIXED", a.at, f"{history.sent[a.attempt].path}: {a.status}, {a.fault}")
         for a in history.record.answered.values()
-        if a.fault and (200 <= a.status < 300 or "no answer" in a.fault)
+        if a.fault and (is_success(a.status) or "no answer" in a.fault)
     ]
     found += [
         RuleViolation("MIXED", 0.0, f.removeprefix("MIXED: "))
@@ -57,7 +58,7 @@
     found += [
         RuleViolation("MIXED", a.at, f"{history.sent[a.attempt].path}: {a.status}, and nothing has run")
         for a in history.record.answered.values()
-        if 200 <= a.status < 300 and a.attempt not in history.ran
+        if is_success(a.status) and a.attempt not in history.ran
     ]
     return limit_findings(found)
 
--- a/simulation/loopback/driver.py
+++ b/simulation/loopback/driver.py
@@ -15,6 +15,8 @@
 
 import numpy as np
 
+from gateway.http_status import is_success
+from gateway.programs.paths import CONFIG
 from simulation.loopback import http_clients
 from simulation.loopback.local_cluster import LocalCluster, LocalMachine
 from simulation.measurements import measure
@@ -154,7 +156,7 @@
         sent = self.now()
         while True:
             body = json.dumps(document).encode()
-            answer, by = await http_clients.control(self.controls, "PUT", "/-/config", body, self.rng, 2.0)
+            answer, by = await http_clients.control(self.controls, "PUT", CONFIG, body, self.rng, 2.0)
             if answer.status in (200, 400, 409, 412, 413, 422):
                 break
             await asyncio.sleep(0.3)
@@ -176,7 +178,7 @@
 
     async def read(self) -> None:
         """Read the configuration back."""
-        answer, by = await http_clients.control(self.controls, "GET", "/-/config", b"", self.rng, 2.0)
+        answer, by = await http_clients.control(self.controls, "GET", CONFIG, b"", self.rng, 2.0)
         found = http_clients.generation(answer)
         self.record.reads.append(Read(self.now(), answer.status, found, found > 0, by))
 
@@ -235,7 +237,7 @@
             self.record.answered[attempt] = Answered(
                 self.now(), attempt, answer.status, http_clients.verify_body(answer, attempt), after
             )
-            if 200 <= answer.status < 300:
+            if is_success(answer.status):
                 self.record.served.append((began, kind.name, f"tenant-{tenant}", zone, self.now() - began))
                 return
             again = kind.safe or answer.status in PROMISES
--- a/simulation/loopback/http_clients.py
+++ b/simulation/loopback/http_clients.py
@@ -8,6 +8,8 @@
 import random
 from typing import Any, NamedTuple
 
+from gateway.http_status import is_success
+
 CONNECT_S = 1.0
 
 
@@ -71,7 +73,7 @@
 
 def verify_body(answer: Answer, attempt: str) -> str:
     """What is wrong with a success."""
-    if not 200 <= answer.status < 300:
+    if not is_success(answer.status):
         return ""
     if answer.headers.get("attempt-id") != attempt:
         return "the answer to another request"
--- a/simulation/measurements.py
+++ b/simulation/measurements.py
@@ -7,6 +7,7 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
+from gateway.http_status import is_success
 from simulation.model.record import Record, Sent
 from simulation.planes import byte_rate, message_rate
 from simulation.spec import Kind, Spec
@@ -58,7 +59,7 @@
     for tries in tries_of(record):
         first = tries[0]
         last = tries[-1]
-        if (answer := record.answered.get(last.attempt)) and 200 <= answer.status < 300 and not answer.fault:
+        if (answer := record.answered.get(last.attempt)) and is_success(answer.status) and not answer.fault:
             kind = kinds[first.route]
             key = first.tenant, int(first.at)
             earned.setdefault(key, []).append((earns(kind, tries, record), kind.worth))
--- a/simulation/model/backends.py
+++ b/simulation/model/backends.py
@@ -9,6 +9,8 @@
 from functools import partial
 from typing import Any, Protocol
 
+from gateway.http_status import is_success
+from gateway.programs.paths import BACKENDS
 from gateway.state_machine import Address
 from ingress.net.http_messages import Response
 from simulation.model.network import Location
@@ -135,7 +137,7 @@
 
     def on_heartbeat_response(self, status: int, by: str, body: bytes) -> None:
         """A heartbeat was answered: schedule the next one."""
-        if 200 <= status < 300:
+        if is_success(status):
             self.simulator.after(
                 self.deployment.spec.beat_s * self.rng.uniform(0.95, 1.05), self.send_heartbeat
             )
@@ -164,7 +166,7 @@
                     "cold-left-s": max(0.0, self.slow_start_until - self.simulator.now),
                 }
             ).encode()
-        self.deployment.call(self.place, to, method, f"/-/backends/{self.id}", body, 1.0, done)
+        self.deployment.call(self.place, to, method, f"{BACKENDS}{self.id}", body, 1.0, done)
 
     def leave(self, drain_s: float) -> None:
         """A planned end: say so until it is acknowledged, serve on for the drain, say that it is over."""
@@ -174,7 +176,7 @@
         give_up = self.simulator.now + LEAVE_S
 
         def on_response(status: int, by: str, body: bytes) -> None:
-            if 200 <= status < 300:
+            if is_success(status):
                 self.tell("draining", by)
                 self.simulator.after(drain_s + 0.3, last)
             elif self.simulator.now < give_up:
@@ -187,7 +189,7 @@
             self.call("DELETE", over)
 
         def over(status: int, by: str, body: bytes) -> None:
-            if 200 <= status < 300:
+            if is_success(status):
                 self.tell("gone", by)
             self.simulator.after(0.5, self.end)
 
--- a/simulation/model/client_attempts.py
+++ b/simulation/model/client_attempts.py
@@ -5,6 +5,7 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
+from gateway.http_status import is_success
 from ingress.net.http_messages import ResponseReader
 from simulation.model.client_requests import Request
 from simulation.model.machines import Machine
@@ -27,7 +28,7 @@
 
 def judge(status: int, lines: bytes, body: bytes, attempt: str) -> str:
     """What is wrong with an answer, as its client can tell."""
-    if not 200 <= status < 300:
+    if not is_success(status):
         return ""
     lower = lines.lower()
     if b"attempt-id: " + attempt.encode() not in lower:
--- a/simulation/model/client_load.py
+++ b/simulation/model/client_load.py
@@ -4,6 +4,7 @@
 
 import numpy as np
 
+from gateway.http_status import is_success
 from simulation.model.client_attempts import ClientAttempt, SimulatedClientConnection
 from simulation.model.client_requests import Request
 from simulation.model.deployment import Deployment
@@ -181,7 +182,7 @@
             return
         self.record.answered[attempt] = Answered(now, attempt, status, fault, after)
         request.ways.add(machine.name)
-        if 200 <= status < 300 or request.is_config_check:
+        if is_success(status) or request.is_config_check:
             if not request.is_config_check and not fault:
                 self.record.served.append(
                     (request.began, request.label, request.tenant, request.zone, now - request.began)
--- a/simulation/model/deployment.py
+++ b/simulation/model/deployment.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from gateway.runtime import settings as files
-from gateway.runtime.http_listener import HttpCall
+from gateway.runtime.http_call import HttpCall
 from gateway.runtime.settings import Settings
 from gateway.state_machine import Address
 from simulation import spec as specs
--- a/simulation/model/operators.py
+++ b/simulation/model/operators.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from gateway.programs.paths import CONFIG
 from simulation.model.deployment import Deployment
 from simulation.model.network import Location
 from simulation.model.record import Order, Read, Repeat
@@ -165,7 +166,7 @@
         def call() -> None:
             address = self.deployment.some_control(self.place, self.rng)
             wait_s = 1.0 + len(body) / 1e5
-            self.deployment.call(self.place, address, method, "/-/config", body, wait_s, on_response)
+            self.deployment.call(self.place, address, method, CONFIG, body, wait_s, on_response)
 
         def on_response(status: int, by: str, answer: bytes) -> None:
             nonlocal wait, tries
@@ -199,7 +200,7 @@
             record.reads.append(Read(self.simulator.now, status, generation, same, by))
 
         address = self.deployment.some_control(self.place, self.rng)
-        self.deployment.call(self.place, address, "GET", "/-/config", b"", 2.0, on_response)
+        self.deployment.call(self.place, address, "GET", CONFIG, b"", 2.0, on_response)
 
 
 def _canon(document: Document) -> str:
--- a/simulation/model/processes.py
+++ b/simulation/model/processes.py
@@ -14,7 +14,7 @@
 from gateway.programs.proxy import BACKEND_IDLE_S, BODY_MEMORY_DIVISOR, RESERVED_DESCRIPTORS, SILENT_S
 from gateway.programs.proxy_node import ProxyNode
 from gateway.programs.startup import CONSENSUS, MEMBERSHIP, QUOTA
-from gateway.runtime.http_listener import HttpCall
+from gateway.runtime.http_call import HttpCall
 from gateway.runtime.settings import Settings
 from gateway.state_machine import Address
 from ingress.net.connection_interfaces import Limits
--- a/simulation/transcript.py
+++ b/simulation/transcript.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from gateway.consensus.consensus_pb2 import Kind
+from gateway.http_status import is_success
 from gateway.programs.startup import CONSENSUS
 from simulation.model.network import Location
 from simulation.model.record import Record
@@ -95,7 +96,7 @@
         yield at, f"..  {machine} takes up generation {generation}"
     sent_by_attempt = {sent.attempt: sent for sent in record.sent}
     for answer in record.answered.values():
-        if not 200 <= answer.status < 300:
+        if not is_success(answer.status):
             sent = sent_by_attempt[answer.attempt]
             outcome = f"{answer.status} {answer.fault}"
             yield answer.at, f"..  {sent.path}, sent at {sent.at:.3f} to {sent.way}: {outcome}".rstrip()
--- a/tests/gateway/cli/test_operator_commands.py
+++ b/tests/gateway/cli/test_operator_commands.py
@@ -10,11 +10,13 @@
 from syrupy.assertion import SnapshotAssertion
 
 from gateway.cli import backend_report, commands, control_client, core_report
-from gateway.cli.control_client import CONFIG, NO_ANSWER, Answer, ControlCall
+from gateway.cli.control_client import NO_ANSWER, Answer
 from gateway.consensus import quorum
 from gateway.membership.controller import ControllerMembership
 from gateway.membership.events import Heartbeat, SetCore
 from gateway.programs import status_report
+from gateway.programs.paths import CONFIG
+from gateway.runtime.http_call import HttpCall
 from tests.gateway.consensus.consensus_cluster import ConsensusCluster, finish
 
 A, B, C = "10.1.0.1:8407", "10.2.0.2:8407", "10.3.0.3:8407"
@@ -33,7 +35,7 @@
         self.calls: list[tuple[str, str]] = []
         self.pauses: list[float] = []
 
-    def send(self, address: str, call: ControlCall, timeout_s: float) -> Answer:
+    def send(self, address: str, call: HttpCall, timeout_s: float) -> Answer:
         self.calls.append((address, call.path))
         self.now += timeout_s
         return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
@@ -45,7 +47,7 @@
     def run(self, **more: Any) -> int:
         return control_client.call_with_retries(
             [A, B],
-            ControlCall("PUT", CONFIG, b"x"),
+            HttpCall("PUT", CONFIG, b"x"),
             send=self.send,
             sleep=self.pause,
             clock=lambda: self.now,
@@ -78,7 +80,7 @@
     got: list[tuple[Any, ...]] = []
     answers = [Answer(200, "", b'{"a":"<b>\\n"}'), OK, Answer(412, "", b'{"generation":9}')]
 
-    def respond(seeds: list[str], call: ControlCall, timeout_s: float) -> Answer:
+    def respond(seeds: list[str], call: HttpCall, timeout_s: float) -> Answer:
         got.append((tuple(seeds), *call))
         return answers.pop(0)
 
--- a/tests/gateway/drift/test_drift.py
+++ b/tests/gateway/drift/test_drift.py
@@ -15,7 +15,7 @@
 from gateway.drift.metrics import render_metrics
 from gateway.programs.quota_report import OwnerReport
 from gateway.quota.shard_owner import ShardOwner
-from gateway.runtime.http_listener import HttpCall
+from gateway.runtime.http_call import HttpCall
 from tests.gateway.drift.drift_network import CONTROLLER_ADDRESSES, FleetNetwork, config, route, taken
 
 MANY = taken(config(more=[route(f"m{n}") for n in range(300)]))
--- a/tests/gateway/programs/controller_cluster.py
+++ b/tests/gateway/programs/controller_cluster.py
@@ -12,8 +12,9 @@
 
 from gateway.config.changes import ConfigState
 from gateway.consensus import events, outputs
-from gateway.programs.control_api import CONFIG, ControlApi
-from gateway.runtime.http_listener import HttpCall
+from gateway.programs.control_api import ControlApi
+from gateway.programs.paths import CONFIG
+from gateway.runtime.http_call import HttpCall
 from tests.gateway.consensus.consensus_cluster import (
     ConsensusCluster,
     FaultInjector,
--- a/tests/gateway/programs/test_control_api.py
+++ b/tests/gateway/programs/test_control_api.py
@@ -15,7 +15,8 @@
 from gateway.membership.events import Deregistration, Heartbeat
 from gateway.programs.control_api import CALL_TIMEOUT_S, MAX_PENDING_CALLS, ControlApi
 from gateway.runtime import http_listener as http_listener_module
-from gateway.runtime.http_listener import EMPTY_REQUEST, HttpCall, HttpCallHandler, HttpListener
+from gateway.runtime.http_call import HttpCall, Reply
+from gateway.runtime.http_listener import EMPTY_REQUEST, HttpCallHandler, HttpListener
 from ingress.net.http_messages import ClientRequest
 from tests.ingress.socket_rig import HOST, Client, run, until
 
@@ -102,7 +103,7 @@
         self.control.proceed(self.now)
 
     async def open(self) -> SimulatedController:
-        def answer(http_call: HttpCall, reply: http_listener_module.Reply) -> None:
+        def answer(http_call: HttpCall, reply: Reply) -> None:
             self.control.answer(self.now, http_call, reply)
 
         self.http_listener = HttpListener(self.loop, answer)
--- a/tests/gateway/programs/test_control_connections.py
+++ b/tests/gateway/programs/test_control_connections.py
@@ -11,8 +11,10 @@
 from hypothesis import strategies as st
 
 from gateway.config.changes import ConfigState
-from gateway.programs.control_api import CONFIG, PROPOSAL_TIMEOUT_S, ControlApi
-from gateway.runtime.http_listener import HttpCall, HttpListener, Reply
+from gateway.programs.control_api import PROPOSAL_TIMEOUT_S, ControlApi
+from gateway.programs.paths import CONFIG
+from gateway.runtime.http_call import HttpCall, Reply
+from gateway.runtime.http_listener import HttpListener
 from simulation.model.proxy_sockets import SimulatedServerConnection
 from simulation.model.simulator import Process, Simulator
 from tests.gateway.programs.test_control_api import config
--- a/tests/gateway/programs/test_programs.py
+++ b/tests/gateway/programs/test_programs.py
@@ -13,7 +13,8 @@
 import pytest
 
 from gateway.cli import commands, control_client
-from gateway.cli.control_client import CONFIG, ControlCall
+from gateway.programs.paths import CONFIG
+from gateway.runtime.http_call import HttpCall
 
 EXAMPLES = Path(__file__).resolve().parents[3] / "examples"
 
@@ -123,9 +124,7 @@
         assert commands.run(["config", "patch", example.control, str(patch)]) == 0
         beyond_the_allowance(example)
         assert "land-office" in capfd.readouterr().out
-        invalid = control_client.send_call(
-            example.control, ControlCall("PUT", CONFIG, b'{"generation":7}'), 5.0
-        )
+        invalid = control_client.send_call(example.control, HttpCall("PUT", CONFIG, b'{"generation":7}'), 5.0)
         assert invalid.status in (400, 412)
         leaving = example.backends.pop(0)
         leaving.terminate()
--- a/tests/simulation/test_partitioned_core.py
+++ b/tests/simulation/test_partitioned_core.py
@@ -7,7 +7,7 @@
 
 from gateway.config.changes import ConfigState
 from gateway.config.errors import MalformedStateError
-from gateway.runtime.http_listener import HttpCall
+from gateway.runtime.http_call import HttpCall
 from simulation.injected_bug_cases import SMALL
 from simulation.model.simulation_run import Run
 from simulation.spec import Day
