--- a/gateway/consensus/candidate.py
+++ b/gateway/consensus/candidate.py
@@ -1,4 +1,4 @@
-"""The candidate role: a pre-vote, and if that gets a quorum, an election in a new term."""
+"""The candidate role: a pre-vote, followed by an election in a new term if a quorum grants the pre-vote."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 class CandidateRole:
     """One attempt to become leader; `won` is set once a quorum has granted its votes.
 
-    The pre-vote (Raft dissertation, 9.6) keeps a member that doesn't hear the leader from unseating it.
+    The pre-vote (Raft dissertation, 9.6) prevents a member that can't reach the leader from unseating it.
 
     Args:
         replica: The state of the candidate's disk.
         now: Seconds of this process's clock.
         retry_interval_s: Seconds after which unanswered requests are repeated.
-        leadership_transfer: The leader itself has requested this election, which then skips the pre-vote.
+        leadership_transfer: The leader itself has requested this election, so the pre-vote is skipped.
     """
 
     def __init__(
@@ -24,7 +24,7 @@
         self.replica = replica
         self.retry_interval_s = retry_interval_s
         self.leadership_transfer = leadership_transfer
-        self.requesting_votes = False  # in a new term; before that it only requests pre-votes
+        self.requesting_votes = False  # in a new term; before that it requests pre-votes only
         self.granted = {replica.disk}
         self.requested_at = now
         self.won = False
@@ -35,25 +35,25 @@
             self._check_quorum()
 
     def tick(self, now: float) -> None:
-        """Repeat the request to members that haven't granted it; datagrams get lost."""
+        """Repeat the request to members that haven't granted it, because datagrams may be lost."""
         if now >= self.requested_at + self.retry_interval_s:
             self.requested_at = now
             self._send_requests()
 
     def on_pre_vote_response(self, message: pb.Message) -> None:
-        """A member has answered a pre-vote request."""
+        """Handle the response to a pre-vote request."""
         if not self.requesting_votes and message.granted and message.term == self.replica.term + 1:
             self.granted.add(message.disk)
             self._check_quorum()
 
     def on_vote_response(self, message: pb.Message) -> None:
-        """A member has answered a vote request."""
+        """Handle the response to a vote request."""
         if self.requesting_votes and message.granted and message.term == self.replica.term:
             self.granted.add(message.disk)
             self._check_quorum()
 
     def on_persisted(self) -> None:
-        """A write is durable: once that holds the candidate's own vote, request the others'."""
+        """Request the votes of the other members once the candidate's own vote is durable."""
         disk = self.replica.disk
         if self.requesting_votes and disk not in self.granted and self.replica.vote_is_persisted(disk):
             self.granted.add(disk)
--- a/gateway/consensus/cluster_restart.py
+++ b/gateway/consensus/cluster_restart.py
@@ -1,9 +1,10 @@
-"""Restart of the whole cluster: the detection that every other member has restarted as well.
+"""Restart of the entire cluster: detects that all other members have restarted as well.
 
-A member that restarts has forgotten which heartbeats it acknowledged, so it votes for nobody while a lease
-may rest on those acknowledgements. The holder of such a lease decides by the entry that its successor must
-hold, and has led ever since. So if each voter of that entry has said, after this process began, that it has
-not led since its own process began, there is no such leader, and votes need not be withheld.
+A restarted member doesn't know which heartbeats it had acknowledged, so it votes for nobody while a lease may
+depend on those acknowledgements. The holder of such a lease has led without interruption since it committed
+the entry that any successor must hold. So if every voter of that entry has reported, after this process
+started, that it has not led since its own process started, there is no such leader, and votes need not be
+withheld.
 """
 
 from __future__ import annotations
@@ -18,10 +19,12 @@
 
 
 class PeerRestart(NamedTuple):
-    """Another member's restart.
+    """The restart of another member.
 
-    `position` is that of its newest entry, `process_started_at` the latest time, by this process's clock, at
-    which its process began, and `initial_term` the term that it began with.
+    Attributes:
+        position: Position of its newest entry.
+        process_started_at: The latest time, by this process's clock, at which its process started.
+        initial_term: The term in which its process started.
     """
 
     position: LogPosition
@@ -30,13 +33,13 @@
 
 
 class ClusterRestart:
-    """Asks all other voters whether they have restarted, and answers them.
+    """Queries all other voters whether they have restarted, and responds to their queries.
 
     Args:
         replica: The state of this disk.
         now: Seconds of this process's clock, as are all times here.
-        vote_withheld_until: When any lease that rests on acknowledgements before the restart has expired.
-        process_started_at: When this process began.
+        vote_withheld_until: When any lease that depends on acknowledgements before the restart has expired.
+        process_started_at: When this process started.
     """
 
     def __init__(
@@ -46,14 +49,14 @@
         self.vote_withheld_until = vote_withheld_until
         self.process_started_at = process_started_at
         self.initial_term = replica.term
-        # Echoed in answers: those to an earlier incarnation don't count.
+        # Echoed in responses, so that a response to an earlier incarnation is ignored.
         self.incarnation = replica.rng.getrandbits(63) + 1
-        self.leaderless = True  # this process has neither led nor heard a leader
+        self.leaderless = True  # this process has neither been leader nor received a message from one
         self.restarted_peers: dict[str, PeerRestart] = {}  # by disk
         self.next_query_at = now
 
     def tick(self, now: float) -> None:
-        """Query those that haven't answered; some may not run yet, and datagrams get lost."""
+        """Query members that haven't responded; some may not be running yet, and datagrams may be lost."""
         if self.leaderless and self.next_query_at <= now < self.vote_withheld_until:
             self.next_query_at = now + self.replica.tuning.restart_query_interval_s
             for member in self.replica.entry.voters():
@@ -61,7 +64,7 @@
                     self._send_restarted(now, member.address, member.disk, to_incarnation=0)
 
     def on_restarted(self, now: float, sender: Address, message: pb.Message) -> None:
-        """Another member has restarted: it queries (`incarnation`), answers (`to_incarnation`), or both."""
+        """Handle a restarted member's query (`incarnation`), response (`to_incarnation`), or both."""
         if message.to_incarnation == self.incarnation:
             started_at = now - message.process_age_ms / 1000
             self.restarted_peers[message.disk] = PeerRestart(
@@ -72,20 +75,20 @@
             self._send_restarted(now, sender, message.disk, message.incarnation, queries)
 
     def all_members_restarted(self) -> bool:
-        """Whether all voters have restarted, this one included."""
+        """Whether all voters, including this one, have restarted."""
         replica = self.replica
         return replica.is_voter and all(
             m.disk in self.restarted_peers or m.disk == replica.disk for m in replica.entry.voters()
         )
 
     def leaderless_since(self) -> float | None:
-        """For a leader just elected: when the last of the core's processes began, or None.
+        """For a newly elected leader: when the last process of the core started, or None.
 
-        It is None unless this is the first leader since all of them did. What an earlier leader had leased
-        ended with the process that held it, so by that time.
+        It is None unless this is the first leader since all processes started. A lease granted by an earlier
+        leader ended with the process that held it, so by that time at the latest.
 
-        Every leader elected since all began has a later term than any of them began with, and a term has one
-        leader; so the leader of the first such term is the first leader.
+        Every leader elected since all processes started has a later term than any process started with, and a
+        term has at most one leader. So the leader of the first such term is the first leader.
         """
         voters = self.replica.entry.voters()
         peers = [self.restarted_peers[m.disk] for m in voters if m.disk in self.restarted_peers]
@@ -96,9 +99,9 @@
         return max([self.process_started_at, *(p.process_started_at for p in peers)])
 
     def election_rank(self) -> int | None:
-        """How many members are to become candidates before this one.
+        """The number of members that should become candidates before this one.
 
-        None if no quorum is known to hold the same newest entry.
+        It is None if no quorum is known to hold the same newest entry.
         """
         replica = self.replica
         same_entry = {
--- a/gateway/consensus/codec.py
+++ b/gateway/consensus/codec.py
@@ -1,4 +1,4 @@
-"""Conversion between consensus types and protobuf, and validation of received messages."""
+"""Conversion between consensus types and protobuf messages, and validation of received messages."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from gateway.consensus.errors import CorruptRecordError, MalformedMessageError
 
 RECORD_SCHEMA = 1
-MAX_ENTRY_MEMBERS = 16  # in an entry or a list of members that is received
-MAX_NAME_LENGTH = 80  # characters of a disk's id
+MAX_ENTRY_MEMBERS = 16  # per received entry or list of members
+MAX_NAME_LENGTH = 80  # characters in the id of a disk
 MAX_TERM = 1 << 48
-MAX_CLOCK_S = 1e12  # magnitude of a time in a message
+MAX_CLOCK_S = 1e12  # maximum magnitude of a time in a message
 MAX_TIMEOUT_SCALE = 10.0
 
 
@@ -31,7 +31,7 @@
 
 
 def put_entry(entry: Entry, into: pb.Entry, with_value: bool = True) -> None:
-    """Fill in the message of an entry, with its value or without."""
+    """Fill in an entry message, with or without the value."""
     into.term = entry.term
     into.index = entry.log_index
     into.version = entry.version
@@ -42,7 +42,7 @@
 
 
 def get_entry(message: pb.Entry) -> Entry:
-    """The entry of a message."""
+    """Read an entry from its message."""
     return Entry(
         message.term,
         message.index,
@@ -54,22 +54,22 @@
 
 
 def last_position(message: pb.Message) -> LogPosition:
-    """The position of the newest entry that the sender holds."""
+    """Position of the newest entry that the sender holds in memory."""
     return LogPosition(message.last_term, message.last_index)
 
 
 def durable_position(message: pb.Message) -> LogPosition:
-    """The position of the newest entry that the sender has on disk."""
+    """Position of the newest entry that the sender has on disk."""
     return LogPosition(message.durable_term, message.durable_index)
 
 
 def base_position(message: pb.Message) -> LogPosition:
-    """The position of an entry with the same value as the message's entry, which then lacks its value."""
+    """Position of an entry with the same value, set if the message's own entry lacks its value."""
     return LogPosition(message.base_term, message.base_index)
 
 
 def entry_position(message: pb.Message) -> LogPosition:
-    """The position of the message's entry."""
+    """Position of the entry in the message."""
     return LogPosition(message.entry.term, message.entry.index)
 
 
@@ -86,12 +86,12 @@
     """Parse the serialized record of a disk.
 
     Raises:
-        CorruptRecordError: The bytes aren't a record of the schema that is known here.
+        CorruptRecordError: The bytes are not a record of the supported schema.
     """
     try:
         message = pb.Record.FromString(data)
     except DecodeError as error:
-        raise CorruptRecordError(f"{len(data)} bytes are no record: {error}") from error
+        raise CorruptRecordError(f"{len(data)} bytes are not a record: {error}") from error
     if message.schema != RECORD_SCHEMA:
         raise CorruptRecordError(f"a record of schema {message.schema}, expected {RECORD_SCHEMA}")
     if not message.disk:
@@ -106,10 +106,10 @@
 
 
 def validate(message: pb.Message) -> None:
-    """Check that a received message may be from a member or learner.
+    """Check that a received message is one that a member or learner could send.
 
     Raises:
-        MalformedMessageError: A field is out of its range.
+        MalformedMessageError: A field is out of range.
     """
     if not pb.HEARTBEAT <= message.kind <= pb.RESTARTED:
         raise MalformedMessageError("kind", message.kind)
@@ -121,7 +121,7 @@
     if highest_term > MAX_TERM:
         raise MalformedMessageError("term", highest_term)
     for time in (message.sent_at, message.replied_at, message.confirmed_reply_at):
-        if not abs(time) < MAX_CLOCK_S:  # nor NaN
+        if not abs(time) < MAX_CLOCK_S:  # also rejects NaN
             raise MalformedMessageError("sent_at", time)
     if message.timeout_scale and not 1.0 <= message.timeout_scale <= MAX_TIMEOUT_SCALE:
         raise MalformedMessageError("timeout_scale", message.timeout_scale)
--- a/gateway/consensus/entry.py
+++ b/gateway/consensus/entry.py
@@ -1,4 +1,4 @@
-"""The replicated entry, the members that vote on it, and what a disk keeps of both."""
+"""The replicated entry, the members that vote on it, and the persistent state of a disk."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class Member(NamedTuple):
-    """A voting disk, and the address of the process that has it."""
+    """A voting disk, and the address of the process that owns it."""
 
     disk: str
     address: Address
 
 
 class Entry(NamedTuple):
-    """The whole replicated state: a log of one entry, which each newer entry replaces.
+    """The complete replicated state. The log consists of one entry, which each newer entry replaces.
 
-    `version` is that of the value, and increases only when the value changes. In a joint configuration
+    `version` is the version of the value; it increases only when the value changes. In a joint configuration
     (Raft, 6), `outgoing` holds the old members.
     """
 
@@ -40,25 +40,25 @@
 
     @property
     def position(self) -> LogPosition:
-        """Its position among all entries."""
+        """Term and index of this entry."""
         return LogPosition(self.term, self.log_index)
 
     def voters(self) -> tuple[Member, ...]:
-        """All voting members, in a joint configuration the old ones too; each disk once."""
+        """All voting members, including the old ones in a joint configuration; each disk appears once."""
         return (*self.members, *(m for m in self.outgoing if m not in self.members))
 
     def has_voter(self, disk: str) -> bool:
-        """Whether the disk is a voter by this entry."""
+        """Whether the disk is a voter according to this entry."""
         return any(m.disk == disk for m in self.voters())
 
     def has_quorum(self, disks: Container[str]) -> bool:
-        """Whether these disks are a majority of the members, and of the old ones in a joint configuration."""
+        """Whether these disks include a majority of the members, in a joint configuration of both sets."""
         return all(
             2 * sum(m.disk in disks for m in voter_set) > len(voter_set) for voter_set in self._voter_sets()
         )
 
     def latest_quorum_time(self, times: Mapping[str, float]) -> float:
-        """The latest time that a quorum has reached, given the time that each disk has reached."""
+        """The latest time that a quorum of disks has reached, given the time reached by each disk."""
         return min(
             sorted(times.get(m.disk, LONG_AGO) for m in voter_set)[(len(voter_set) - 1) // 2]
             if voter_set
@@ -71,17 +71,16 @@
 
 
 NO_POSITION = LogPosition(0, 0)
-"""The position of `EMPTY_ENTRY`, and of a message's field that isn't set."""
+"""The position of `EMPTY_ENTRY`, and of a message field that isn't set."""
 
 EMPTY_ENTRY = Entry(0, 0, 0, (), (), b"")
 """The entry of a disk that has never been a member."""
 
 
 class PersistentState(NamedTuple):
-    """What a member keeps on disk; nothing that isn't durable yet may be acknowledged to others.
+    """The state that a member keeps on disk. Nothing is acknowledged to others before it is durable.
 
-    `timeout_scale` is the number of election timeouts for which a vote may have been withheld
-    (`ElectionTimer`).
+    A vote may have been withheld for up to `timeout_scale` election timeouts (`ElectionTimer`).
     """
 
     disk: str
@@ -92,11 +91,11 @@
 
 
 def bootstrap_entry(seeds: Iterable[Address]) -> Entry:
-    """The entry that all seeds hold at the first start of the whole system."""
+    """The entry that all seeds hold when the system is started for the first time."""
     members = tuple(Member(bootstrap_disk(address), address) for address in sorted(set(seeds)))
     return Entry(0, 1, 0, members, (), b"")
 
 
 def bootstrap_disk(address: Address) -> str:
-    """The id of a seed's disk at the first start of the whole system."""
+    """The id of a seed's disk when the system is started for the first time."""
     return "first-" + address
--- a/gateway/consensus/errors.py
+++ b/gateway/consensus/errors.py
@@ -8,10 +8,10 @@
 
 
 class MalformedMessageError(ConsensusError):
-    """A received message can't be from a member or learner.
+    """A received message can't have been sent by a member or learner.
 
     Attributes:
-        field: Name of the field that is out of range; messages that are dropped are counted by it.
+        field: Name of the invalid field. Dropped messages are counted by this name.
     """
 
     def __init__(self, field: str, value: object) -> None:
@@ -20,11 +20,11 @@
 
 
 class CorruptRecordError(ConsensusError):
-    """Bytes that were read aren't the record of a disk's persistent state."""
+    """The bytes read from disk are not a valid record of persistent state."""
 
 
 class CorruptGenerationError(ConsensusError):
-    """A generation on disk is incomplete or damaged, so that an earlier one has to be used.
+    """A generation on disk is incomplete or damaged; an earlier one has to be used.
 
     Attributes:
         generation: Number of the generation.
--- a/gateway/consensus/events.py
+++ b/gateway/consensus/events.py
@@ -16,11 +16,11 @@
 
 
 class Tick(NamedTuple):
-    """Raised about every 25 ms: time has passed."""
+    """Raised about every 25 ms to advance timers."""
 
 
 class WriteCompleted(NamedTuple):
-    """Raised when the write with this token is durable."""
+    """Raised when the write with this token has become durable."""
 
     token: int
 
@@ -33,9 +33,9 @@
 
 
 class Propose(NamedTuple):
-    """Raised when the value of version `expected_version` is to be replaced by this one.
+    """Raised to replace the value of version `expected_version` by a new one.
 
-    Only a leader accepts it. It is answered by `outputs.Proposed` with the same token.
+    Only a leader accepts a proposal. The result is `outputs.Proposed` with the same token.
     """
 
     token: int
@@ -44,16 +44,16 @@
 
 
 class Leave(NamedTuple):
-    """Raised when this process ends soon.
+    """Raised when this process is about to shut down.
 
-    It transfers leadership and has its disk removed from the members.
+    The node transfers leadership and has its disk removed from the members.
     """
 
 
 class KnownAddresses(NamedTuple):
-    """Raised when addresses of the core are learned elsewhere.
+    """Raised when core addresses become known from outside the consensus group.
 
-    A disk that isn't a member sends them its join requests.
+    A disk that is not a member sends its join requests to these addresses.
     """
 
     addresses: tuple[Address, ...]
--- a/gateway/consensus/follower.py
+++ b/gateway/consensus/follower.py
@@ -1,4 +1,4 @@
-"""The follower role: accepting heartbeats and entries of the leader, and acknowledging them."""
+"""The follower role: accepts and acknowledges the leader's heartbeats and entries."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from gateway.consensus.replica import Replica
 from gateway.state_machine import LONG_AGO, Address
 
-SCALE_RESET_S = 10.0  # for which an unrequested timeout scale stays on disk; no promise lasts that long
+SCALE_RESET_S = 10.0  # an unrequested timeout scale stays on disk this long; no withheld vote lasts longer
 
 
 class FollowerRole:
-    """A follower's knowledge of the leader, and its promise not to vote for others.
+    """The leader as a follower knows it, and the period for which the follower withholds its vote.
 
-    The vote is withheld from other candidates until `vote_withheld_until`, because of the heartbeats that
-    this member has acknowledged: the leader's lease rests on it. Times are seconds of this process's clock.
+    By acknowledging a heartbeat, the follower agrees to vote for no other candidate until
+    `vote_withheld_until`; the leader's lease depends on this. Times are seconds of this process's clock.
     """
 
     def __init__(self, replica: Replica, timer: ElectionTimer, now: float, leaving: bool) -> None:
@@ -25,17 +25,17 @@
         self.leader: Address | None = None
         self.leader_disk = ""
         self.last_heartbeat_at = LONG_AGO
-        self.heartbeat_sent_at = 0.0  # when the leader sent the newest heartbeat, by the leader's clock
+        self.heartbeat_sent_at = 0.0  # send time of the newest heartbeat, by the leader's clock
         self.vote_withheld_until = now
-        self.promised_scale = 1.0  # that the response to the newest heartbeat promises
-        self.scale_requested_at = now  # when a heartbeat last asked for a scale, or may have before a restart
-        # When the newest response was sent that a leader, while it held its lease, has confirmed.
+        self.granted_scale = 1.0  # granted in the response to the newest heartbeat
+        self.scale_requested_at = now  # by a heartbeat, perhaps one before a restart
+        # Send time of the newest response whose receipt was confirmed by a leader that held its lease.
         self.confirmed_reply_at = LONG_AGO
-        self.commit_position = NO_POSITION  # newest position that a leader has said is committed
-        self.leaving = leaving  # others are to be members in its place; said in each response
+        self.commit_position = NO_POSITION  # newest position reported as committed by a leader
+        self.leaving = leaving  # sent in each response: other members should replace this one
 
     def on_heartbeat(self, now: float, sender: Address, message: pb.Message) -> None:
-        """A heartbeat of this term's leader, perhaps with its newest entry: accept and acknowledge it."""
+        """Accept and acknowledge a heartbeat of this term's leader, which may carry its newest entry."""
         replica = self.replica
         self.leader = sender
         self.leader_disk = message.disk
@@ -49,61 +49,63 @@
         if message.kind == pb.APPEND_ENTRIES and entry_position(message) > replica.entry.position:
             self._accept_entry(message)
             self._commit_up_to_leader(message)
-        self.send_append_response(now, sender, message.disk, message.sent_at, self.promised_scale)
+        self.send_append_response(now, sender, message.disk, message.sent_at, self.granted_scale)
 
     def accept_as_learner(self, message: pb.Message) -> None:
-        """Accept the leader's newest entry, which doesn't have this disk as a voter."""
+        """Accept the leader's newest entry, in which this disk is not a voter."""
         if entry_position(message) > self.replica.entry.position:
             self._accept_entry(message)
 
     def on_persisted(self, now: float) -> None:
-        """A write is durable: acknowledge the newest entry once it is, as the leader waits for that."""
+        """Acknowledge the newest entry once it is durable, because the leader waits for that."""
         if self.leader is not None and self.replica.newest_entry_persisted():
             self.send_append_response(
-                now, self.leader, self.leader_disk, self.heartbeat_sent_at, self.promised_scale
+                now, self.leader, self.leader_disk, self.heartbeat_sent_at, self.granted_scale
             )
 
     def quorum_contact_until(self) -> float:
         """See `RaftNode.quorum_contact_until`.
 
-        The period begins with this disk's own response that a leader, while it held its lease, has confirmed
-        to have received; so heartbeats that lay in a buffer, or that come over a link which carries only one
-        direction, begin none.
+        The period starts when this disk sent its own response, and only if a leader that held its lease has
+        confirmed receiving that response. Heartbeats that were delayed in a buffer, or that arrive over a
+        link that works in one direction only, therefore don't start a period.
         """
-        known = self.replica.committed_entry
-        if known is None or known.term != self.replica.term or known.position < self.commit_position:
+        committed = self.replica.committed_entry
+        if committed is None or committed.term != self.replica.term:
+            return LONG_AGO
+        if committed.position < self.commit_position:
             return LONG_AGO
         return self.confirmed_reply_at + self.replica.tuning.election_max_s * self.timer.requested_scale
 
     def send_append_response(
-        self, now: float, to: Address, disk: str, heartbeat_sent_at: float, promised_scale: float = 1.0
+        self, now: float, to: Address, disk: str, heartbeat_sent_at: float, granted_scale: float = 1.0
     ) -> None:
-        """Report the positions of the newest entry held and of the newest one on disk to a leader."""
+        """Report to a leader the positions of the newest entry held and of the newest entry on disk."""
         message = self.replica.message_with_durable_position(pb.APPEND_RESPONSE, disk)
         message.sent_at = heartbeat_sent_at
         message.replied_at = now
         message.leaving = self.leaving
-        if promised_scale > 1.0:
-            message.timeout_scale = promised_scale
+        if granted_scale > 1.0:
+            message.timeout_scale = granted_scale
         self.replica.send(to, message)
 
     def reset_unused_scale(self, now: float) -> None:
-        """Forget a timeout scale that wasn't requested for long, as all promises of it have expired.
+        """Reset a timeout scale that hasn't been requested recently, once no vote is withheld because of it.
 
-        A restart then needn't wait for longer than without one.
+        A restart then need not wait longer than it would without a scale.
         """
         if self.replica.timeout_scale > 1.0 and now >= self.scale_requested_at + SCALE_RESET_S:
             self.replica.timeout_scale = 1.0
 
     def _withhold_vote(self, now: float, requested_scale: float) -> None:
-        """Withhold votes from others for as long as the leader asks, as far as a restart would know of it."""
+        """Withhold votes from other candidates as the leader asks, as far as it would survive a restart."""
         replica = self.replica
         self.timer.adopt_requested_scale(requested_scale)
         if requested_scale > 1.0:
             replica.timeout_scale = max(replica.timeout_scale, requested_scale)
             self.scale_requested_at = now
-        self.promised_scale = min(requested_scale, replica.durable_timeout_scale())
-        withheld_until = now + self.promised_scale * replica.tuning.election_min_s
+        self.granted_scale = min(requested_scale, replica.durable_timeout_scale())
+        withheld_until = now + self.granted_scale * replica.tuning.election_min_s
         self.vote_withheld_until = max(self.vote_withheld_until, withheld_until)
 
     def _accept_entry(self, message: pb.Message) -> None:
@@ -116,7 +118,7 @@
             replica.entry = entry._replace(value=replica.entry.value)
 
     def _commit_up_to_leader(self, message: pb.Message) -> None:
-        """Commit the entry held if the leader says that it is committed."""
+        """Commit the current entry if the leader reports it as committed."""
         entry = self.replica.entry
         if entry.term == message.term and entry.log_index <= message.commit_index:
             self.replica.commit(entry)
--- a/gateway/consensus/leader.py
+++ b/gateway/consensus/leader.py
@@ -21,21 +21,21 @@
 from gateway.consensus.replication import Replication
 from gateway.state_machine import Address
 
-MAX_TRANSFER_WAIT_S = 1.0  # that a leadership transfer waits for the uncommitted entry
-JOIN_REQUEST_MAX_INTERVALS = 3  # request intervals after which a join request counts no more
+MAX_TRANSFER_WAIT_S = 1.0  # a leadership transfer waits at most this long for the uncommitted entry
+JOIN_REQUEST_MAX_INTERVALS = 3  # a join request expires after this many request intervals
 
 
 class LeaderRole:
     """The state of a leader during its term.
 
-    Its first entry repeats what it held, so as to commit that in its own term (Raft, 5.4.2 and 8); at most
-    one entry is uncommitted at a time.
+    The first entry repeats the one already held, in order to commit it in the new term (Raft, 5.4.2 and 8).
+    At most one entry is uncommitted at a time.
 
     Args:
         replica: The state of the leader's disk.
         now: Seconds of this process's clock.
         tolerance: The number of members whose simultaneous loss the core must survive.
-        timer: The election timer, for the timeout scale in force.
+        timer: The election timer, which provides the current timeout scale.
     """
 
     def __init__(self, replica: Replica, now: float, tolerance: int, timer: ElectionTimer) -> None:
@@ -48,7 +48,7 @@
         self.proposal: Propose | None = None
         self.proposed_at = now
         self.proposal_in_flight = False  # its entry is being replicated
-        self.removed: list[Member] = []  # to be informed once the change that removes them is committed
+        self.removed: list[Member] = []  # to be informed when the change that removes them is committed
         self.next_reconfiguration_check_at = now
         self.replication.replicate(now, replica.entry)
 
@@ -59,7 +59,7 @@
 
     @property
     def lease_until(self) -> float:
-        """Until when no other leader can be elected, by this process's clock: `Replication.renew_lease`."""
+        """No other leader can be elected before this time; see `Replication.renew_lease`."""
         return self.replication.lease_until
 
     @property
@@ -68,7 +68,7 @@
         return self.replication.newest_entry_committed
 
     def has_leader_lease(self, now: float) -> bool:
-        """Whether there can't be another leader now, and the newest committed entry is known."""
+        """Whether no other leader can exist now and the newest committed entry is known."""
         return self.replication.has_leader_lease(now)
 
     def quorum_contact_until(self) -> float:
@@ -76,7 +76,7 @@
         return self.replication.quorum_contact_until()
 
     def tick(self, now: float, leaving: bool) -> bool:
-        """Send due heartbeats and entries, and begin a due membership change.
+        """Send due heartbeats and entries, and start a membership change if one is due.
 
         Returns:
             False if this leader must step down.
@@ -98,9 +98,9 @@
     # Proposals and commitment.
 
     def propose(self, now: float, proposal: Propose) -> None:
-        """Accept a proposal, to be replicated at once or when the uncommitted entry is committed.
+        """Accept a proposal, which is replicated as soon as no entry is uncommitted.
 
-        It is rejected while another one is pending or a leadership transfer is under way.
+        It is rejected if another proposal is pending or a leadership transfer is in progress.
         """
         if self.proposal is not None or self.replication.transfer_since is not None:
             self.replica.outputs.append(Proposed(proposal.token, ProposalOutcome.REJECTED))
@@ -111,14 +111,14 @@
         self._replicate_pending_proposal(now)
 
     def on_append_response(self, now: float, message: pb.Message) -> None:
-        """A member has acknowledged a heartbeat or an entry."""
+        """Handle a member's acknowledgement of a heartbeat or an entry."""
         if self.replication.on_append_response(now, message):
             self.commit_if_replicated(now)
 
     def commit_if_replicated(self, now: float) -> None:
-        """Commit the newest entry if it is on the disks of a quorum, and continue with what waited for that.
+        """Commit the newest entry once it is on the disks of a quorum, then start whatever waited for that.
 
-        A committed joint configuration is followed by the entry that has the new members alone.
+        A committed joint configuration is followed by an entry with only the new members.
         """
         replica = self.replica
         entry = replica.entry
@@ -145,7 +145,7 @@
             self.replication.broadcast(now)
 
     def resign(self) -> None:
-        """Stop leading: report a pending proposal's outcome, which is unknown once it was replicated."""
+        """Stop leading. The result of a pending proposal is unknown if its replication has started."""
         if self.proposal is not None:
             in_flight = self.proposal_in_flight
             self._finish_proposal(ProposalOutcome.UNKNOWN if in_flight else ProposalOutcome.REJECTED)
@@ -157,7 +157,7 @@
         self.proposal_in_flight = False
 
     def _replicate_pending_proposal(self, now: float) -> None:
-        """Replicate the pending proposal if no entry is uncommitted and no membership change under way."""
+        """Replicate the pending proposal unless an entry is uncommitted or members are being changed."""
         proposal = self.proposal
         if proposal is None or self.proposal_in_flight:
             return
@@ -174,16 +174,16 @@
     # Membership changes.
 
     def on_join(self, now: float, sender: Address, message: pb.Message) -> None:
-        """Handle a join request, and answer with a hint.
+        """Handle a join request, and respond with a leader hint.
 
-        The disk counts once it has this leader's hint, which the request's term shows.
+        The request counts only if its term shows that the disk has received this leader's hint.
         """
         replica = self.replica
-        known = replica.committed_entry
-        if message.disk in self.replication.past_members:  # a removed disk never rejoins under its old id
+        committed = replica.committed_entry
+        if message.disk in self.replication.past_members:  # a removed disk can't rejoin under its old id
             is_voter = replica.entry.has_voter(message.disk)
-            if known is not None and not is_voter and not known.has_voter(message.disk):
-                send_removed(replica, known, sender, message.disk)
+            if committed is not None and not is_voter and not committed.has_voter(message.disk):
+                send_removed(replica, committed, sender, message.disk)
         elif message.term == replica.term:
             self.join_requests.add(now, message.disk, sender)
             member = Member(message.disk, sender)
@@ -193,14 +193,14 @@
     def _update_learner(
         self, now: float, member: Member, last_position: LogPosition, durable_position: LogPosition
     ) -> None:
-        """Note what a joining disk holds, in memory and on disk.
+        """Record which entry a joining disk holds in memory and on disk.
 
-        It is sent the newest entry before it may be chosen as a member.
+        The newest entry is sent to the disk before it can be selected as a member.
         """
         peer = self.replication.learners.get(member.disk)
         if peer is None or peer.address != member.address:
             peer = Peer(member, now, self.replication.first_resend_wait_s)
-        peer.last_heard_at = now
+        peer.last_contact_at = now
         peer.last_position = last_position
         peer.durable_position = durable_position
         self.replication.learners[member.disk] = peer
@@ -210,7 +210,7 @@
             self._replicate_to_learners(now)
 
     def _replicate_to_learners(self, now: float) -> None:
-        """Send the newest entry, which is committed, to learners that lack it, if there is room for one."""
+        """Send the newest committed entry to learners that lack it, if a member can be added."""
         replica = self.replica
         replication = self.replication
         requests = self.join_requests.requests
@@ -223,7 +223,7 @@
                 replication.send_entry(now, peer, with_value=not has_value)
 
     def _start_reconfiguration_if_due(self, now: float) -> None:
-        """Begin a membership change if one is due and no proposal is pending."""
+        """Start a membership change if one is due and no proposal is pending."""
         if now < self.next_reconfiguration_check_at:
             return
         if not self.newest_entry_committed or not self.has_leader_lease(now):
@@ -248,28 +248,28 @@
             self.replication.replicate(now, entry._replace(members=members, outgoing=entry.members))
 
     def _eligible_requests(self, now: float, requests: list[JoinRequest]) -> list[JoinRequest]:
-        """The join requests of disks that may be made members now.
+        """Join requests of disks that may become members now.
 
-        A new member must have on disk an entry that was the newest no longer ago than the election timeout.
+        A new member must have an entry on disk that was the newest one within the last election timeout.
         """
         replication = self.replication
         longest = self.replica.tuning.election_min_s * self.timer.timeout_scale
-        late = {position for position, at in replication.recent_entries.items() if now - at > longest}
-        fresh = {self.replica.entry.position, *replication.recent_entries} - late
+        outdated = {position for position, at in replication.recent_entries.items() if now - at > longest}
+        recent = {self.replica.entry.position, *replication.recent_entries} - outdated
         return [
             request
             for request in requests
             if request.member.disk not in replication.past_members
-            and replication.learners[request.member.disk].durable_position in fresh
+            and replication.learners[request.member.disk].durable_position in recent
         ]
 
     def member_health(self, now: float) -> dict[str, MemberHealth]:
-        """What is known of the reachability of each other voter, by disk."""
+        """The reachability of each other voter, by disk."""
         timeout_s = self.replica.tuning.presence_timeout_s
         return {
             peer.disk: MemberHealth(
-                silent_s=now - max(peer.last_heard_at, peer.added_at),
-                reachable=now - peer.last_heard_at <= timeout_s,
+                unresponsive_s=now - max(peer.last_contact_at, peer.added_at),
+                reachable=now - peer.last_contact_at <= timeout_s,
                 leaving=peer.leaving,
             )
             for peer in self.peers.values()
@@ -278,10 +278,10 @@
     # Leadership transfer (Raft dissertation, 3.10).
 
     def transfer_leadership(self, now: float) -> bool:
-        """Ask the most recently heard successor that has the newest entry on disk to begin an election.
+        """Ask the most recently heard member that has the newest entry on disk to start an election.
 
         Returns:
-            Whether there is one: this leader must then step down.
+            Whether there is such a member; this leader must then step down.
         """
         replica = self.replica
         newest = replica.entry.position
@@ -293,9 +293,9 @@
         return True
 
     def _update_leadership_transfer(self, now: float, leaving: bool) -> None:
-        """When leaving, prepare a transfer, which rejects proposals, while a successor is available.
+        """When leaving, prepare a leadership transfer while a successor is available; reject proposals.
 
-        Without one, go on leading.
+        Without a successor, continue to lead.
         """
         if not leaving or not self._transfer_candidates(now):
             self.replication.transfer_since = None
@@ -303,16 +303,16 @@
             self.replication.transfer_since = now
 
     def _should_transfer(self, now: float) -> bool:
-        """Whether leadership is to be transferred now: for a leave, or because writes stall."""
+        """Whether leadership should be transferred now: this node is leaving, or its writes stall."""
         since = self.replication.transfer_since
         is_ready = since is not None and (self.newest_entry_committed or now - since > MAX_TRANSFER_WAIT_S)
         return is_ready or self.replica.write_stalled_s(now) > self.replica.tuning.max_write_stall_s
 
     def _transfer_candidates(self, now: float) -> list[Peer]:
-        """Members that may lead next.
+        """Members that may become the next leader.
 
-        They stay, have answered within the election timeout, are in the new configuration, and have the
-        newest entry on disk if that is committed.
+        They are not leaving, have responded within the election timeout, belong to the new configuration, and
+        have the newest entry on disk if it is committed.
         """
         entry = self.replica.entry
         oldest = now - self.replica.tuning.election_min_s * self.timer.timeout_scale
--- a/gateway/consensus/message_dispatch.py
+++ b/gateway/consensus/message_dispatch.py
@@ -1,6 +1,6 @@
-"""The dispatch of received messages to the roles of a node.
+"""Dispatches received messages to the roles of a node.
 
-It also handles messages that are meant for another disk, come from removed members, or are of other terms.
+Also handles messages that are addressed to another disk, come from removed members, or belong to other terms.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from gateway.state_machine import Address
 
 UNEXPECTED_LEADER = "leader"
-"""Why a message is dropped: it claims to be from a leader that there can't be."""
+"""Drop reason of a message that claims to be from a leader that can't exist."""
 
 
 class Node(Protocol):
-    """What the dispatch needs of a node: its roles, and the transitions between them."""
+    """The parts of a node that the dispatch uses: its roles, and the transitions between them."""
 
     replica: Replica
     tuning: Tuning
@@ -43,34 +43,34 @@
 
     @property
     def leader(self) -> Address | None:
-        """The leader's address, as far as known."""
+        """The leader's address, if known."""
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The members by the newest entry held."""
+        """The members according to the newest entry."""
 
     def start_election(self, now: float) -> None:
-        """Become a candidate, if this disk may be one."""
+        """Become a candidate, if allowed."""
 
     def reset_election_timer(self, now: float) -> None:
-        """Begin a new random election timeout."""
+        """Start a new random election timeout."""
 
     def enter_term(self, now: float, term: int) -> None:
-        """Go on to a later term."""
+        """Enter a later term."""
 
     def rejoin_as_new_disk(self, now: float) -> None:
-        """Give up this disk's id and entry, and ask to be a member again under a new id."""
+        """Discard this disk's id and entry, and request membership under a new id."""
 
 
 class MessageDispatch:
-    """Passes each message that a node receives to the role that handles it, in the term it belongs to."""
+    """Passes each received message to the role that handles it in the message's term."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
         self.replica = node.replica
 
     def receive(self, now: float, sender: Address, message: pb.Message) -> None:
-        """Handle a message from the network; a malformed one is dropped, and counted by its field."""
+        """Handle a message from the network; a malformed one is dropped and counted by its invalid field."""
         try:
             validate(message)
         except MalformedMessageError as error:
@@ -97,7 +97,7 @@
         self.node.dropped_messages[reason] = self.node.dropped_messages.get(reason, 0) + 1
 
     def _on_message_to_another_disk(self, now: float, sender: Address, message: pb.Message) -> None:
-        """A message is meant for a disk that was here before, or for any disk."""
+        """Handle a message addressed to a disk that was previously at this address, or to any disk."""
         if message.kind != pb.HEARTBEAT:
             reject_removed_member(self.replica, sender, message)
         elif not self.replica.is_voter:
@@ -118,7 +118,7 @@
                 self._on_response(now, message)
 
     def _on_response(self, now: float, message: pb.Message) -> None:
-        """A member has answered a request; a later term of its shows that this disk's term is over."""
+        """Handle a response. A later term in it means that this disk's term is over."""
         is_append_response = message.kind == pb.APPEND_RESPONSE
         if message.term > self.replica.term and (is_append_response or not message.granted):
             self.node.enter_term(now, message.term)
@@ -171,10 +171,10 @@
             self.node.reset_election_timer(now)
 
     def _on_restarted(self, now: float, sender: Address, message: pb.Message) -> None:
-        """Another member has restarted.
+        """Handle a restarted member's query or response.
 
-        Members that hold the same newest entry become candidates one after the other: at once if all members
-        have restarted, else as soon as votes need not be withheld.
+        Members that hold the same newest entry become candidates one after another: immediately if all
+        members have restarted, otherwise as soon as votes are no longer withheld.
         """
         restart = self.node.cluster_restart
         restart.on_restarted(now, sender, message)
@@ -191,7 +191,7 @@
             self.node.start_election(now)
 
     def _on_timeout_now(self, now: float, message: pb.Message) -> None:
-        """The leader has stepped down in favour of this member: begin an election without a pre-vote."""
+        """Start an election without a pre-vote: the leader has stepped down in favour of this member."""
         follower = self.node.follower_role
         is_from_leader = follower.leader is not None and message.disk == follower.leader_disk
         if message.term != self.replica.term or not is_from_leader or not self.node.voter.is_eligible(now):
@@ -210,7 +210,7 @@
             send_leader_hint(self.replica, sender, message.disk, self.node.leader or "")
 
     def _on_removed(self, now: float, message: pb.Message) -> None:
-        """This disk has been removed, if by an entry that is newer than its own: join again as a new disk."""
+        """If this disk was removed by an entry newer than its own, join again as a new disk."""
         if last_position(message) > self.replica.entry.position:
             self.node.learner_role.set_core_addresses([m.address for m in message.members])
             self.node.rejoin_as_new_disk(now)
--- a/gateway/consensus/outputs.py
+++ b/gateway/consensus/outputs.py
@@ -1,4 +1,4 @@
-"""Outputs of `RaftNode`, to be carried out by its driver in their order."""
+"""Outputs of `RaftNode`, which its driver must carry out in order."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class ProposalOutcome(StrEnum):
-    """What became of a proposal."""
+    """The result of a proposal."""
 
     COMMITTED = "committed"
-    REJECTED = "rejected"  # it never takes effect
-    UNKNOWN = "unknown"  # it may take effect or not: a lost leadership leaves it open
+    REJECTED = "rejected"  # it will never take effect
+    UNKNOWN = "unknown"  # leadership was lost during replication; it may or may not take effect
 
 
 class Write(NamedTuple):
-    """Persist this record; answered by `WriteCompleted` or `WriteFailed`. At most one write is in flight."""
+    """Persist this record, then report `WriteCompleted` or `WriteFailed`. At most one write is in flight."""
 
     token: int
     record: PersistentState
 
 
 class Committed(NamedTuple):
-    """This value is committed, permanently. Versions increase; some may be skipped."""
+    """This value is permanently committed. Versions increase; some may be skipped."""
 
     version: int
     value: bytes
 
 
 class Proposed(NamedTuple):
-    """The outcome of the proposal with this token."""
+    """The result of the proposal with this token."""
 
     token: int
     outcome: ProposalOutcome
--- a/gateway/consensus/peer.py
+++ b/gateway/consensus/peer.py
@@ -1,4 +1,4 @@
-"""What a leader knows of another member, or of a learner."""
+"""A leader's view of another member or a learner."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class Peer:
-    """Another member, or a learner, as the leader sees it.
+    """Another member, or a learner, as seen by the leader.
 
-    Times are seconds of the leader's clock unless said otherwise.
+    Times are seconds of the leader's clock unless stated otherwise.
 
     Args:
         member: The peer's disk and address.
-        now: When it becomes a peer.
-        resend_wait_s: Until the newest entry is resent for the first time.
+        now: The time at which it becomes a peer.
+        resend_wait_s: Delay before the newest entry is first resent.
     """
 
     __slots__ = (
         "acknowledged_at",
         "added_at",
         "address",
-        "bare_entry_sent_at",
         "disk",
         "durable_position",
-        "last_heard_at",
+        "entry_without_value_sent_at",
+        "last_contact_at",
         "last_position",
         "leaving",
         "replied_at",
@@ -37,13 +37,13 @@
         self.disk = member.disk
         self.address = member.address
         self.added_at = now
-        self.last_heard_at = LONG_AGO
-        self.acknowledged_at = LONG_AGO  # when the newest heartbeat that it has acknowledged was sent
-        self.vote_withheld_until = LONG_AGO  # from other candidates, less a safety margin
-        self.replied_at = 0.0  # when its newest response was sent, by its clock; 0: there is none
-        self.last_position: LogPosition | None = None  # newest entry that it holds
-        self.durable_position: LogPosition | None = None  # newest entry that it has on disk
-        self.resend_at = 0.0  # when the newest entry is resent
-        self.resend_wait_s = resend_wait_s  # the backoff after that
-        self.bare_entry_sent_at = LONG_AGO  # when an entry without its value was sent
-        self.leaving = False  # by its newest response, it is leaving the members
+        self.last_contact_at = LONG_AGO
+        self.acknowledged_at = LONG_AGO  # send time of the newest heartbeat that it has acknowledged
+        self.vote_withheld_until = LONG_AGO  # reduced by a safety margin
+        self.replied_at = 0.0  # send time of its newest response, by its own clock; 0: no response yet
+        self.last_position: LogPosition | None = None  # position of the newest entry it holds in memory
+        self.durable_position: LogPosition | None = None  # position of the newest entry it has on disk
+        self.resend_at = 0.0  # when to resend the newest entry
+        self.resend_wait_s = resend_wait_s  # backoff after the next resend
+        self.entry_without_value_sent_at = LONG_AGO  # when an entry was last sent without its value
+        self.leaving = False  # its newest response announced that it is leaving the members
--- a/gateway/consensus/quorum.py
+++ b/gateway/consensus/quorum.py
@@ -1,4 +1,4 @@
-"""Fault tolerance of a core by its number of disks: pure arithmetic, for capacity planning."""
+"""Fault tolerance of a core as a function of its number of disks, for capacity planning."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
     Attributes:
         lost: The number of disks.
-        stays_available: Changes are still committed; disks that are lost permanently get replaced.
+        stays_available: Changes can still be committed; permanently lost disks get replaced.
         keeps_changes: Every acknowledged change is on a disk that remains.
     """
 
@@ -21,29 +21,29 @@
 
 
 class VoterSet(NamedTuple):
-    """A set of voters whose majority is needed: its number of disks, and how many of them are reachable."""
+    """A set of voters from which a majority is needed: its number of disks, and how many are reachable."""
 
     disks: int
     reachable: int
 
 
 class LossDescription(NamedTuple):
-    """The effect of lost disks in words, while they are unreachable and if they are lost permanently."""
+    """The effect of lost disks in words: while they are unreachable, and if they are lost for good."""
 
     unreachable: str
     lost_permanently: str
 
 
 def majority(members: int) -> int:
-    """The number of disks that a change is on before it is acknowledged."""
+    """The number of disks that must store a change before it is acknowledged."""
     return members // 2 + 1
 
 
 def losses(members: int) -> list[DiskLoss]:
     """The effect of each number of lost disks, from none to all.
 
-    An acknowledged change is on q disks. If f are lost, at least q - f of the others have it; if q others are
-    left, any q of those include one that has it (q + q - f > members - f), so the core goes on with it.
+    An acknowledged change is on q disks. If f of them are lost, at least q - f of the others store it. If at
+    least q disks remain, every q of them include one that stores it, because q + q - f > members - f.
     """
     q = majority(members)
     return [
@@ -53,13 +53,13 @@
 
 
 def further_tolerable_losses(voter_sets: Iterable[VoterSet], replicas: int) -> int:
-    """How many more disks, whichever they are, may be lost permanently without harm.
+    """How many more disks, in any combination, may be lost permanently without harm.
 
-    Changes are then still committed, and no acknowledged one is lost.
+    Changes can then still be committed, and no acknowledged change is lost.
 
     Args:
-        voter_sets: Each set of voters whose majority is needed.
-        replicas: How many reachable disks have the newest acknowledged change.
+        voter_sets: Each set of voters from which a majority is needed.
+        replicas: Number of reachable disks that store the newest acknowledged change.
     """
     spare = [voters.reachable - majority(voters.disks) for voters in voter_sets]
     return max(0, min([*spare, replicas - 1]))
@@ -71,12 +71,12 @@
 
 
 def members_needed(tolerance: int) -> int:
-    """The smallest core that stays available when `tolerance` members are lost at once."""
+    """The size of the smallest core that stays available when `tolerance` members are lost at once."""
     return 2 * tolerance + 1
 
 
 def describe(loss: DiskLoss) -> LossDescription:
-    """The effect in words."""
+    """A description of the effect for operators."""
     if loss.stays_available:
         return LossDescription("goes on", "goes on, nothing lost" if loss.lost else "goes on")
     unreachable = "no orders until some are back"
--- a/gateway/consensus/raft.py
+++ b/gateway/consensus/raft.py
@@ -1,9 +1,9 @@
-"""Raft with a log of one entry, which is the whole state.
+"""Raft with a log of a single entry that contains the complete state.
 
-Elections, terms and the commitment rule are Raft's. A leader first commits what it held again in its own
-term. The entry is sent to members that lack it; heartbeats carry only its position. Members are disks: one
-that comes back empty is a new member. During a membership change (a joint configuration), an entry needs
-majorities of both the old and the new members.
+Elections, terms and the commitment rule are those of Raft. A new leader first commits the entry it already
+held again in its own term. The entry is sent to members that lack it; heartbeats carry only its position.
+Members are disks: a disk that comes back empty is a new member. During a membership change (a joint
+configuration), an entry needs majorities of both the old and the new members.
 """
 
 from __future__ import annotations
@@ -45,24 +45,25 @@
 
 
 class Role(StrEnum):
-    """What a disk is to the consensus group."""
+    """The role of a disk in the consensus group."""
 
     LEADER = "leader"
     CANDIDATE = "candidate"
     FOLLOWER = "follower"
-    LEARNER = "learner"  # not a member; asks to be one
+    LEARNER = "learner"  # not a member; requests membership
 
 
 class RaftConfig(NamedTuple):
-    """What a node is told at its start.
+    """Configuration of a node at its start.
 
     Attributes:
-        address: Of this process, where it receives messages.
-        seeds: Addresses of the seeds' processes.
-        first_start: Whether this is the first start of the whole system.
+        address: Address at which this process receives messages.
+        seeds: Addresses of the seed processes.
+        first_start: Whether the system is started for the first time.
         tolerance: The number of members that may be lost at once.
-        durable: Whether the disk outlives the process. If not, it is a member only if the first start made
-            it one, until durable disks replace it.
+        durable: Whether the disk outlives the process. If not, the disk is a member only if the first start
+        made
+            it one, and only until a durable disk replaces it.
         tuning: Timeouts and sizes.
     """
 
@@ -75,19 +76,20 @@
 
 
 class RaftNode:
-    """One disk's Raft node, a state machine without I/O.
+    """The Raft node of one disk: a state machine without I/O.
 
-    `now`, in seconds of this process's steady clock, must be read after the event arrived, because leases
-    rest on it. `dropped_messages` counts messages by the reason for which they were dropped.
+    `now`, in seconds of this process's monotonic clock, must be read after the event arrived, because leases
+    depend on it. `dropped_messages` counts dropped messages by reason.
 
     Args:
-        config: What the node is told at its start.
-        stored: The result of `Store.load`. It counts only once it is saved again, since a killed process may
-            have left it unsynced.
-        rng: For election timeouts, ids and incarnations.
-        new_disk_id: A random id, used if this disk is to be a new member.
+        config: Configuration of the node.
+        stored: The result of `Store.load`. It does not count as durable until it has been saved again,
+        because a
+            killed process may have left it unsynced.
+        rng: Source of election timeouts, ids and incarnations.
+        new_disk_id: A random id, used if this disk is to become a new member.
         now: Seconds of this process's clock.
-        process_started_at: When the process began by that clock; None: now.
+        process_started_at: When the process started by that clock; None means `now`.
     """
 
     def __init__(
@@ -108,7 +110,7 @@
         self.leader_role: LeaderRole | None = None
         self.candidate_role: CandidateRole | None = None
         self.learner_role = LearnerRole(self.replica, config.seeds, wants_membership=config.durable)
-        # A disk that was never used can't have acknowledged a heartbeat.
+        # A disk that has never been used can't have acknowledged a heartbeat.
         restart_s = 0.0 if stored is None else config.tuning.election_min_s * self.replica.timeout_scale
         started_at = now if process_started_at is None else process_started_at
         self.cluster_restart = ClusterRestart(self.replica, now, now + restart_s, started_at)
@@ -117,8 +119,8 @@
         self.leaderless_since: float | None = None  # set while this is the leader: see `ClusterRestart`
         self.voter = Voter(self.replica, self.cluster_restart, self.follower_role)
         self.dropped_messages: dict[str, int] = {}
-        self.leaving = False  # this process ends soon
-        self.has_left = False  # it was removed from the members after that
+        self.leaving = False  # this process is about to shut down
+        self.has_left = False  # its disk was removed from the members after that
         self.message_dispatch = MessageDispatch(self)
         self.reset_election_timer(now)
 
@@ -134,7 +136,7 @@
 
     @property
     def role(self) -> Role:
-        """What this disk is to the consensus group."""
+        """The current role of this disk."""
         if self.leader_role is not None:
             return Role.LEADER
         if not self.replica.is_voter:
@@ -143,14 +145,14 @@
 
     @property
     def leader(self) -> Address | None:
-        """The leader's address, as far as known."""
+        """The leader's address, if known."""
         if self.leader_role is not None:
             return self.replica.address
         return self.follower_role.leader or (None if self.replica.is_voter else self.learner_role.leader)
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The members by the newest entry held; none for a disk that isn't one."""
+        """The members according to the newest entry; empty for a disk that is not a member."""
         return () if self.role is Role.LEARNER else self.replica.entry.members
 
     @property
@@ -169,21 +171,21 @@
         return self.replica.committed_entry
 
     def quorum_contact_until(self) -> float:
-        """A lease by this process's clock: until then it may claim to be in contact with a quorum.
+        """A lease: until this time of its clock, the process may claim to be in contact with a quorum.
 
-        It may also claim that `committed_entry` is the newest one, or was at most `election_max_s` ago.
+        It may also claim that `committed_entry` is the newest one, or was so at most `election_max_s` ago.
         """
         return (self.leader_role or self.follower_role).quorum_contact_until()
 
     def has_leader_lease(self, now: float) -> bool:
-        """Whether this is the leader, and there can't be another one now.
+        """Whether this node is the leader and no other leader can exist now.
 
-        Then `committed_entry` is the newest one.
+        `committed_entry` is then the newest committed entry.
         """
         return self.leader_role is not None and self.leader_role.has_leader_lease(now)
 
     def handle(self, now: float, event: Event) -> list[Output]:
-        """Handle an event; returns what is to be sent, written and reported."""
+        """Handle an event; returns the messages, writes and results to be carried out."""
         outputs: list[Output] = []
         self.replica.outputs = outputs
         match event:
@@ -230,10 +232,10 @@
             self.learner_role.tick(now)
 
     def start_election(self, now: float) -> None:
-        """No leader is heard: become a candidate, if this disk may.
+        """Become a candidate, if allowed, because no leader has sent a heartbeat in time.
 
-        Soon after the process began, other members may still withhold their votes, so requests are repeated
-        often.
+        Shortly after this process has started, other members may still withhold their votes, so requests are
+        repeated at a shorter interval.
         """
         self.reset_election_timer(now)
         self.follower_role.leader = None
@@ -250,7 +252,7 @@
     def _advance(self, now: float) -> None:
         """Make the winner of an election the leader.
 
-        A leader that has committed its own removal hands over and steps down.
+        A leader that has committed its own removal transfers leadership and steps down.
         """
         if self.candidate_role is not None and self.candidate_role.won:
             self.leaderless_since = self.cluster_restart.leaderless_since()
@@ -265,7 +267,7 @@
             self.rejoin_as_new_disk(now)
 
     def _on_persisted(self, now: float) -> None:
-        """A write is durable: let each role act on it."""
+        """Notify each role that a write has become durable."""
         self.voter.on_persisted()
         if self.candidate_role is not None:
             self.candidate_role.on_persisted()
@@ -277,11 +279,11 @@
             self.learner_role.report_progress(now)
 
     def reset_election_timer(self, now: float) -> None:
-        """Wait for a leader for a new random election timeout."""
+        """Start a new random election timeout."""
         self.timer.reset(now, self.follower_role.leaving)
 
     def step_down(self, now: float) -> None:
-        """Become a follower that knows of no leader."""
+        """Become a follower without a known leader."""
         if self.leader_role is not None:
             self.leader_role.resign()
             self.leader_role = None
@@ -291,7 +293,7 @@
         self.reset_election_timer(now)
 
     def enter_term(self, now: float, term: int) -> None:
-        """Enter a later term that another member has announced."""
+        """Enter a later term announced by another member."""
         if self.leader_role is not None or self.candidate_role is not None:
             self.step_down(now)
         self.follower_role.leader = None
@@ -299,9 +301,9 @@
         self.replica.enter_term(term)
 
     def rejoin_as_new_disk(self, now: float) -> None:
-        """Drop what this disk holds, which doesn't count any more, and ask to be a member under a new id.
+        """Discard this disk's entry, which no longer counts, and request membership under a new disk id.
 
-        A process that is leaving doesn't ask.
+        A process that is shutting down does not request membership again.
         """
         self.step_down(now)
         self.has_left = self.leaving
@@ -309,7 +311,7 @@
 
 
 def _initial_state(config: RaftConfig, new_disk_id: str) -> PersistentState:
-    """The state of a disk on which nothing is stored."""
+    """The state of a disk on which nothing has been stored."""
     if config.first_start and config.address in config.seeds:
         return PersistentState(bootstrap_disk(config.address), 0, "", bootstrap_entry(config.seeds))
     return PersistentState(new_disk_id, 0, "", EMPTY_ENTRY)
--- a/gateway/consensus/reconfiguration.py
+++ b/gateway/consensus/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Membership changes (Raft, 6): which one a leader makes next."""
+"""Membership changes (Raft, 6): selects the next change that a leader should make."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from gateway.state_machine import Address
 
 MAX_JOIN_REQUESTS = 16
-MIN_MEMBERS = 3  # a lost member isn't removed without a replacement if fewer than these would stay
+MIN_MEMBERS = 3  # a lost member is not removed without a replacement if fewer members than this would remain
 
 
 class MemberHealth(NamedTuple):
-    """What the leader knows of another member.
+    """The leader's view of another member.
 
-    `silent_s` is for how many seconds it hasn't been heard.
+    `unresponsive_s` is the time in seconds since its last message.
     """
 
-    silent_s: float
+    unresponsive_s: float
     reachable: bool
     leaving: bool
 
 
 class JoinRequest(NamedTuple):
-    """A disk that asks to be a member, and the times of its first and its latest request."""
+    """A disk that requests membership, and the times of its first and latest requests."""
 
     member: Member
     first_at: float
@@ -33,21 +33,21 @@
 
 
 class JoinRequests:
-    """The disks that ask to be members, by their ids; at most `MAX_JOIN_REQUESTS` are kept."""
+    """The disks that request membership, by id; at most `MAX_JOIN_REQUESTS` are stored."""
 
     def __init__(self) -> None:
         self.requests: dict[str, JoinRequest] = {}
 
     def add(self, now: float, disk: str, address: Address) -> None:
-        """Note a join request. It replaces one of another disk at the same address."""
-        known = self.requests.get(disk)
+        """Record a join request. It replaces a request of another disk at the same address."""
+        previous = self.requests.get(disk)
         self.requests = {d: r for d, r in self.requests.items() if r.member.address != address}
         if len(self.requests) < MAX_JOIN_REQUESTS:
-            first_at = known.first_at if known else now
+            first_at = previous.first_at if previous else now
             self.requests[disk] = JoinRequest(Member(disk, address), first_at, now)
 
     def fresh(self, now: float, max_age_s: float) -> list[JoinRequest]:
-        """The disks whose latest request isn't older than this, the first one first; others are forgotten."""
+        """Requests repeated within `max_age_s`, oldest first; all others are discarded."""
         self.requests = {d: r for d, r in self.requests.items() if now - r.latest_at <= max_age_s}
         return sorted(self.requests.values(), key=lambda r: r.first_at)
 
@@ -60,17 +60,17 @@
     tolerance: int,
     tuning: Tuning,
 ) -> tuple[Member, ...] | None:
-    """The members after the next change; None if none is due.
+    """The members after the next membership change; None if no change is due.
 
-    A change is begun only if a majority of the members after it are reachable, the new one not counted.
+    A change is started only if a majority of the resulting members are reachable, not counting the new one.
 
     Args:
         now: Seconds of the leader's clock.
-        members: The members now.
-        health: By disk, what is known of the members other than the leader.
-        join_requests: Of disks that may be made members, the one to be considered first comes first.
+        members: The current members.
+        health: The leader's view of the other members, by disk.
+        join_requests: Disks that may become members, in order of preference.
         tolerance: The number of members whose simultaneous loss the core must survive.
-        tuning: Timeouts and the largest number of members.
+        tuning: Timeouts and the maximum number of members.
     """
     found = None
     for request in join_requests:
@@ -83,7 +83,7 @@
 
 
 def has_room(members: tuple[Member, ...], health: Mapping[str, MemberHealth], tuning: Tuning) -> bool:
-    """Whether a new member can be added, or may be soon."""
+    """Whether a new member can be added now, or is likely to be soon."""
     return len(members) < tuning.max_members or any(h.leaving or not h.reachable for h in health.values())
 
 
@@ -98,21 +98,23 @@
     waited_s: float,
     tuning: Tuning,
 ) -> tuple[Member, ...] | None:
-    """The members with a new one, if there is a place for it now.
+    """The members with a new one added or replacing another; None if that is not possible now.
 
-    A disk that arrives as another one ends is to replace that one. So it is added as a further member only
-    after a wait in which the silence of a member that has ended would show.
+    A disk that arrives while another one shuts down should replace that one. It is therefore added as a
+    further member only after a wait that is long enough to detect an unresponsive member.
     """
     if any(m.disk == learner.disk for m in members):
         return None
     for old in members:
-        if old.address == learner.address:  # the old disk is lost, unless it is still heard
+        if old.address == learner.address:  # the old disk is lost, unless it still responds
             old_health = health.get(old.disk)
-            if old_health is None or old_health.silent_s < tuning.election_min_s:
+            if old_health is None or old_health.unresponsive_s < tuning.election_min_s:
                 return None
             return tuple(learner if m == old else m for m in members)
     replaceable = [
-        (h.silent_s, disk) for disk, h in health.items() if h.leaving or h.silent_s > tuning.replace_after_s
+        (h.unresponsive_s, disk)
+        for disk, h in health.items()
+        if h.leaving or h.unresponsive_s > tuning.replace_after_s
     ]
     if replaceable:
         replaced_disk = max(replaceable)[1]
@@ -124,15 +126,17 @@
 def _without_lost_member(
     members: tuple[Member, ...], health: Mapping[str, MemberHealth], tolerance: int, tuning: Tuning
 ) -> tuple[Member, ...] | None:
-    """The members without one that is leaving or lost, if enough stay.
+    """The members without one that is leaving or lost, if enough members remain.
 
-    If an odd number is left, the removal of one from an even number lowers the majority that is needed, so
-    it helps whoever else is unreachable. If an even number is left, only reachable members are counted.
+    Going from an even to an odd number lowers the required majority, which helps if further members are
+    unreachable, so all remaining members are counted. If an even number remains, only reachable ones are.
     """
     min_members = max(MIN_MEMBERS, 2 * tolerance + 1)
     for old in members:
         old_health = health.get(old.disk)
-        if old_health is None or not (old_health.leaving or old_health.silent_s > tuning.remove_after_s):
+        if old_health is None or not (
+            old_health.leaving or old_health.unresponsive_s > tuning.remove_after_s
+        ):
             continue
         rest = tuple(m for m in members if m != old)
         staying = len(rest) if len(rest) % 2 else sum(_is_reachable(health, m) for m in rest)
--- a/gateway/consensus/replica.py
+++ b/gateway/consensus/replica.py
@@ -1,4 +1,4 @@
-"""The state of a disk that all roles share: what it holds, what is durable, and what it sends."""
+"""The state of one disk shared by all roles: term, vote and entry, what is durable, and outgoing messages."""
 
 from __future__ import annotations
 
@@ -31,28 +31,28 @@
         self.outputs: list[Output] = []
         self.write_token = 0  # of the newest write
         self.write_in_flight: PersistentState | None = None
-        self.write_needed_since: float | None = None  # since when a write is needed and none has ended
+        self.write_needed_since: float | None = None  # since the last completed write
         self.write_retry_at = 0.0
 
     @property
     def is_voter(self) -> bool:
-        """Whether this disk is a voter by the entry that it holds."""
+        """Whether this disk is a voter according to its current entry."""
         return self.entry.has_voter(self.disk)
 
     # Messages.
 
     def message(self, kind: pb.Kind, to_disk: str = "") -> pb.Message:
-        """A message of this disk and its term, to be filled in and sent."""
+        """Create a message of this disk and its term."""
         return pb.Message(kind=kind, disk=self.disk, to_disk=to_disk, term=self.term)
 
     def message_with_last_position(self, kind: pb.Kind, to_disk: str = "") -> pb.Message:
-        """A message that also has the position of the newest entry held."""
+        """Create a message with the position of the newest entry held."""
         message = self.message(kind, to_disk)
         message.last_term, message.last_index = self.entry.position
         return message
 
     def message_with_durable_position(self, kind: pb.Kind, to_disk: str = "") -> pb.Message:
-        """A message that also has the positions of the newest entry held and of the newest one on disk."""
+        """Create a message with the positions of the newest entry held and of the newest entry on disk."""
         message = self.message_with_last_position(kind, to_disk)
         if self.persisted.disk == self.disk:
             message.durable_term, message.durable_index = self.persisted.entry.position
@@ -65,12 +65,12 @@
     # State changes.
 
     def enter_term(self, term: int) -> None:
-        """Enter a later term, in which this disk hasn't voted. The term alone needs no write; a vote does."""
+        """Enter a later term, in which this disk hasn't voted. Only a vote needs to be written."""
         self.term = term
         self.vote = ""
 
     def commit(self, entry: Entry) -> None:
-        """Note that an entry is committed, and output its value if that is new."""
+        """Record that an entry is committed, and output its value if its version is new."""
         if self.committed_entry is None or entry.position > self.committed_entry.position:
             self.committed_entry = entry
         if entry.version > self.committed_version:
@@ -78,7 +78,7 @@
             self.outputs.append(Committed(entry.version, entry.value))
 
     def reset_identity(self, disk: str) -> None:
-        """Become a disk, of this id, that has never been a member."""
+        """Take on a new disk id that has never been a member, and discard the entry and the vote."""
         self.disk = disk
         self.vote = ""
         self.entry = EMPTY_ENTRY
@@ -99,7 +99,7 @@
         return self.persisted.disk == self.disk and self.persisted.entry.position == self.entry.position
 
     def write_if_needed(self, now: float) -> None:
-        """Begin a write if one is needed and none is in flight."""
+        """Start a write if one is needed and none is in flight."""
         if not self._needs_write():
             if self.write_in_flight is None:
                 self.write_needed_since = None
@@ -114,7 +114,7 @@
             self.outputs.append(Write(self.write_token, self.write_in_flight))
 
     def on_write_completed(self, now: float, token: int) -> bool:
-        """A write has completed. Returns False if it isn't the one in flight."""
+        """Handle the completion of a write. Returns False if it is not the one in flight."""
         if token != self.write_token or self.write_in_flight is None:
             return False
         self.persisted = self.write_in_flight
@@ -123,20 +123,20 @@
         return True
 
     def on_write_failed(self, now: float, token: int) -> None:
-        """A write has failed; it is retried after `write_retry_s`."""
+        """Handle a failed write, which is retried after `write_retry_s`."""
         if token == self.write_token and self.write_in_flight is not None:
-            # The disk may have either record.
+            # The disk may hold either the old or the new record.
             self.persisted = self.persisted._replace(timeout_scale=self.durable_timeout_scale())
             self.write_in_flight = None
             self.write_retry_at = now + self.tuning.write_retry_s
 
     def durable_timeout_scale(self) -> float:
-        """The highest timeout scale that a restart surely finds on disk, whatever the write in flight did."""
+        """The highest timeout scale guaranteed to be on disk, whether or not the write in flight succeeds."""
         in_flight = self.timeout_scale if self.write_in_flight is None else self.write_in_flight.timeout_scale
         return min(self.persisted.timeout_scale, in_flight, self.timeout_scale)
 
     def write_stalled_s(self, now: float) -> float:
-        """For how many seconds a write has been needed without any completing; 0 if none is needed."""
+        """Seconds for which a write has been needed without any completing; 0 if none is needed."""
         return 0.0 if self.write_needed_since is None else now - self.write_needed_since
 
     def _needs_write(self) -> bool:
--- a/gateway/consensus/replication.py
+++ b/gateway/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Replication by a leader: heartbeats, entries and their retries, and the lease that the responses give."""
+"""Replication by a leader: heartbeats, entries and their retries, and the lease based on the responses."""
 
 from __future__ import annotations
 
@@ -12,28 +12,30 @@
 from gateway.consensus.replica import Replica
 from gateway.state_machine import LONG_AGO
 
-MAX_PAST_MEMBERS = 256  # disks
-MAX_INTERVAL_SCALE = 2.5  # on slow links the intervals of heartbeats and retries grow by at most this factor
-MAX_RESEND_WAIT_S = 2.0  # between retries of an entry to a peer that doesn't respond
+MAX_PAST_MEMBERS = 256  # number of disk ids
+MAX_INTERVAL_SCALE = 2.5  # on slow links, heartbeat and retry intervals grow by at most this factor
+MAX_RESEND_WAIT_S = 2.0  # longest backoff for a peer that doesn't respond
 
 
 class Replication:
-    """The peers of a leader during its term, what it sends them, and its lease.
+    """A leader's peers during its term, the messages sent to them, and the leader's lease.
 
-    The lease is that of Raft dissertation, 6.4.1: a quorum has promised to vote for nobody else meanwhile.
+    The lease follows Raft dissertation, 6.4.1: a quorum has agreed not to vote for another candidate until it
+    ends.
     """
 
     def __init__(self, replica: Replica, now: float, timer: ElectionTimer) -> None:
         self.replica = replica
         self.timer = timer
         self.started_at = now
-        self.peers: dict[str, Peer] = {}  # by disk, the other voters
-        self.learners: dict[str, Peer] = {}  # by disk, those that are sent the newest entry before they join
-        self.past_members: dict[str, None] = {}  # disks that have been members in this term, the latest ones
-        self.recent_entries: dict[LogPosition, float] = {}  # entries that were the newest, and until when
-        self.same_value_position: LogPosition | None = None  # of an entry with the newest entry's value
+        self.peers: dict[str, Peer] = {}  # the other voters, by disk
+        self.learners: dict[str, Peer] = {}  # disks that receive the newest entry before they join, by disk
+        self.past_members: dict[str, None] = {}  # the most recent disks that have been members in this term
+        # Positions of recent newest entries, and when each was superseded.
+        self.recent_entries: dict[LogPosition, float] = {}
+        self.same_value_position: LogPosition | None = None  # of an entry with the same value as the newest
         self.next_heartbeat_at = now
-        self.transfer_since: float | None = None  # since when a leadership transfer is intended
+        self.transfer_since: float | None = None  # when a leadership transfer was first intended
         self.lease_until = LONG_AGO
 
     @property
@@ -42,20 +44,20 @@
         return self.replica.committed_entry is self.replica.entry
 
     def has_leader_lease(self, now: float) -> bool:
-        """Whether there can't be another leader now, and the newest committed entry is known.
+        """Whether no other leader can exist now and the newest committed entry is known.
 
-        A leader that is removing itself from the members holds no lease: the members that remain needn't
-        query it when they restart (`ClusterRestart`).
+        A leader that is removing itself from the members holds no lease, because the remaining members need
+        not query it when they restart (`ClusterRestart`).
         """
         return now < self.quorum_contact_until()
 
     def quorum_contact_until(self) -> float:
         """See `RaftNode.quorum_contact_until`.
 
-        The period begins when the heartbeats were sent that a quorum has acknowledged.
+        The period starts at the send time of the heartbeats that a quorum has acknowledged.
         """
-        known = self.replica.committed_entry
-        knows_newest = known is not None and known.term == self.replica.term
+        committed = self.replica.committed_entry
+        knows_newest = committed is not None and committed.term == self.replica.term
         if not knows_newest or self.transfer_since is not None or not self.replica.is_voter:
             return LONG_AGO
         return self.lease_until
@@ -69,51 +71,52 @@
 
     @property
     def first_resend_wait_s(self) -> float:
-        """Seconds until an unacknowledged entry is resent for the first time."""
+        """Delay in seconds before an unacknowledged entry is first resent."""
         return self.replica.tuning.resend_s * min(MAX_INTERVAL_SCALE, self.timer.timeout_scale)
 
     def on_append_response(self, now: float, message: pb.Message) -> bool:
-        """A member has acknowledged a heartbeat or an entry.
+        """Handle a member's acknowledgement of a heartbeat or an entry.
 
         Returns:
-            False if the sender isn't one of the peers.
+            False if the sender is not a peer.
         """
         peer = self.peers.get(message.disk)
         if peer is None:
             return False
         shortest = self.replica.tuning.election_min_s * self.timer.timeout_scale
-        if now - peer.last_heard_at > shortest:  # it is back: send what it lacks
+        if now - peer.last_contact_at > shortest:  # it was unreachable: resend at once what it lacks
             peer.resend_at = now
             peer.resend_wait_s = self.first_resend_wait_s
-        peer.last_heard_at = now
+        peer.last_contact_at = now
         peer.replied_at = message.replied_at
         peer.leaving = message.leaving
         peer.last_position = last_position(message)
         peer.durable_position = durable_position(message)
-        self._extend_promise(now, peer, message)
+        self._extend_vote_withholding(now, peer, message)
         lacks_entry = peer.last_position != self.replica.entry.position
-        if lacks_entry and message.sent_at == peer.bare_entry_sent_at:  # it lacks the value too
-            peer.bare_entry_sent_at = LONG_AGO
+        if lacks_entry and message.sent_at == peer.entry_without_value_sent_at:  # it also lacks the value
+            peer.entry_without_value_sent_at = LONG_AGO
             self.send_entry(now, peer, with_value=True)
         return True
 
-    def _extend_promise(self, now: float, peer: Peer, message: pb.Message) -> None:
-        """Note until when a peer withholds its vote from others, and renew the lease if that is later."""
+    def _extend_vote_withholding(self, now: float, peer: Peer, message: pb.Message) -> None:
+        """Record until when a peer withholds its vote, and renew the lease if that extends it."""
         tuning = self.replica.tuning
         sent_at = min(message.sent_at, now)
         peer.acknowledged_at = max(peer.acknowledged_at, sent_at)
-        promise_s = (tuning.election_min_s - tuning.lease_margin_s) * (message.timeout_scale or 1.0)
-        if sent_at + promise_s > peer.vote_withheld_until:
-            peer.vote_withheld_until = sent_at + promise_s
+        withheld_s = (tuning.election_min_s - tuning.lease_margin_s) * (message.timeout_scale or 1.0)
+        if sent_at + withheld_s > peer.vote_withheld_until:
+            peer.vote_withheld_until = sent_at + withheld_s
             self.renew_lease()
 
     def replicate(self, now: float, entry: Entry, new_value: bool = False) -> None:
-        """Replicate this entry as the next one of this term.
+        """Replicate this entry as the next one in the current term.
 
         Args:
             now: Seconds of this process's clock.
             entry: The entry; its term and index are replaced.
-            new_value: Its value differs from the newest entry's, so that it can't be sent without the value.
+            new_value: Whether its value differs from the newest entry's, so that it must be sent with the
+            value.
         """
         replica = self.replica
         longest = replica.tuning.election_min_s * self.timer.timeout_scale
@@ -129,7 +132,7 @@
         self.broadcast(now)
 
     def _follow_voters(self, now: float) -> None:
-        """Make the other voters of the newest entry the peers; those that were learners stay as they are."""
+        """Make the other voters of the newest entry the peers; the state of former learners is preserved."""
         former = self.peers
         self.peers = {
             m.disk: former.get(m.disk) or self.learners.pop(m.disk, None) or Peer(m, now)
@@ -139,28 +142,28 @@
         self.past_members = dict.fromkeys([*self.past_members, *self.peers][-MAX_PAST_MEMBERS:])
 
     def broadcast(self, now: float) -> None:
-        """Send each peer a heartbeat, and the newest entry if it lacks that and a (re)send is due."""
+        """Send each peer a heartbeat, and the newest entry if the peer lacks it and a (re)send is due."""
         replica = self.replica
         scale = min(MAX_INTERVAL_SCALE, self.timer.timeout_scale)
         self.next_heartbeat_at = now + replica.tuning.heartbeat_interval_s * scale
         for peer in self.peers.values():
             if peer.last_position != replica.entry.position and now >= peer.resend_at:
                 may_have_value = peer.last_position in (None, self.same_value_position)
-                bare = self.same_value_position is not None and may_have_value
-                self.send_entry(now, peer, with_value=not bare)
-                if bare:  # an entry is a heartbeat as well
+                without_value = self.same_value_position is not None and may_have_value
+                self.send_entry(now, peer, with_value=not without_value)
+                if without_value:  # an entry also serves as a heartbeat
                     continue
             replica.send(peer.address, self._heartbeat(now, pb.HEARTBEAT, peer))
 
     def send_entry(self, now: float, peer: Peer, with_value: bool) -> None:
-        """Send the newest entry, without its value to a peer that may have that already."""
+        """Send the newest entry, without its value if the peer may already have that."""
         peer.resend_at = now + peer.resend_wait_s
         peer.resend_wait_s = min(MAX_RESEND_WAIT_S, 2 * peer.resend_wait_s)
         message = self._heartbeat(now, pb.APPEND_ENTRIES, peer)
         put_entry(self.replica.entry, message.entry, with_value)
         if not with_value and self.same_value_position is not None:
             message.base_term, message.base_index = self.same_value_position
-            peer.bare_entry_sent_at = now
+            peer.entry_without_value_sent_at = now
         self.replica.send(peer.address, message)
 
     def _heartbeat(self, now: float, kind: pb.Kind, peer: Peer) -> pb.Message:
@@ -176,6 +179,6 @@
         return message
 
     def renew_lease(self) -> None:
-        """Compute until when there can't be another leader: a quorum withholds its votes until then."""
+        """Recompute the lease: no other leader can be elected while a quorum withholds its votes."""
         withheld = {peer.disk: peer.vote_withheld_until for peer in self.peers.values()}
         self.lease_until = self.replica.entry.latest_quorum_time({self.replica.disk: inf, **withheld})
--- a/gateway/consensus/store.py
+++ b/gateway/consensus/store.py
@@ -1,9 +1,9 @@
-"""Storage of a member's persistent state: generations of one record, each a `dbm.dumb` database of its own.
+"""Storage of a member's persistent state as generations of one record, each in its own `dbm.dumb` database.
 
-A generation is the files `gen-N.dat` and `gen-N.dir`. It is valid if both are complete and the record's
-checksum is right; the newest valid one is loaded, the last two are retained. Each save writes a new
-generation, so whatever happens during a save, the earlier ones stay as they are. A save syncs three times:
-both files and the folder. A generation that is loaded at the start is synced likewise before it counts as
+A generation consists of the files `gen-N.dat` and `gen-N.dir`. It is valid if both are complete and the
+checksum of the record matches. The newest valid generation is loaded; the last two are retained. Each save
+writes a new generation, so the earlier ones are intact whatever happens during a save. A save syncs both
+files and the folder. A generation that is loaded at startup is synced in the same way before it counts as
 saved.
 """
 
@@ -22,7 +22,7 @@
 RETAINED_GENERATIONS = 2
 MAX_FILE_BYTES = 32 << 20  # larger files aren't read
 PREFIX = "gen-"
-MAX_GENERATION_DIGITS = 15  # a longer number isn't of a file of ours
+MAX_GENERATION_DIGITS = 15  # a file name with a longer number was not written by this module
 RECORD_KEY = b"record"
 CHECKSUM_KEY = b"sum"
 
@@ -37,9 +37,9 @@
 
 
 class Store:
-    """The generations in a folder, which the first save creates if needed.
+    """The generations in a folder, which is created by the first save if necessary.
 
-    Not thread-safe: one thread at a time may use it.
+    Not thread-safe.
 
     Raises:
         OSError: The folder can't be read.
@@ -47,10 +47,12 @@
 
     def __init__(self, folder: str) -> None:
         self.folder = os.path.abspath(folder)
-        self.folder_is_synced = False  # it exists, and its name is synced
+        self.folder_is_synced = False  # it exists and its directory entry is synced
         self.valid_generations: list[int] = []  # oldest first
-        self.unsynced = True  # the loaded one may be: a killed process may have left it so
-        self.last_generation = max(self._generations(), default=0)  # of all, valid or not
+        self.unsynced = True  # of the loaded generation: its process may have been killed
+        self.last_generation = max(
+            self._generations(), default=0
+        )  # highest number of any generation, valid or not
         self.newest_record = self._load()
 
     def load(self) -> PersistentState | None:
@@ -74,10 +76,10 @@
     def save(self, record: PersistentState) -> None:
         """Write a record and return once it is durable.
 
-        A record equal to the loaded one is only synced; if that fails, the next save writes it again.
+        A record equal to the loaded one is only synced. If that fails, the next save writes it again.
 
         Raises:
-            OSError: The disk is full or fails; the earlier records then remain.
+            OSError: The disk is full or failing. The earlier records are unaffected.
         """
         if not self.folder_is_synced:
             self._create_folder()
@@ -99,15 +101,15 @@
         self._remove_obsolete()
 
     def _remove_obsolete(self) -> None:
-        """Remove invalid and superseded generations; called only once the newest valid one is synced."""
+        """Remove invalid and superseded generations; only safe once the newest valid one is synced."""
         for generation in self._generations():
             if generation not in self.valid_generations:
                 self._remove(generation)
 
     def _create_folder(self) -> None:
-        """Create the folder if it is missing, and sync its name in any case.
+        """Create the folder if it is missing, and sync its directory entry in any case.
 
-        The process that created it may have been killed before it did so.
+        A process that created the folder may have been killed before syncing.
         """
         created = [self.folder]
         path = self.folder
@@ -145,7 +147,7 @@
         try:
             for name in (path + ".dat", path + ".dir"):
                 if os.path.getsize(name) > MAX_FILE_BYTES:
-                    raise CorruptGenerationError(generation, f"{name} is too long")
+                    raise CorruptGenerationError(generation, f"{name} exceeds the size limit")
             with _ModelessDatabase(path, "", "r") as database:
                 data = database[RECORD_KEY]
                 checksum = database[CHECKSUM_KEY]
@@ -154,7 +156,7 @@
             return decode_record(data)
         except CorruptGenerationError:
             raise
-        except Exception as error:  # garbage may raise anything in the parser of `dbm.dumb`
+        except Exception as error:  # the `dbm.dumb` parser may raise any exception on garbage
             raise CorruptGenerationError(generation, f"{type(error).__name__}: {error}") from error
 
     def _remove(self, generation: int) -> None:
--- a/gateway/consensus/voter.py
+++ b/gateway/consensus/voter.py
@@ -1,4 +1,4 @@
-"""Granting of votes and pre-votes: to whom, and when."""
+"""Granting of votes and pre-votes."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class PendingVote(NamedTuple):
-    """A vote that is announced once it is durable: the candidate's disk and address."""
+    """A vote that is announced once it is durable: the disk and the address of the candidate."""
 
     disk: str
     address: Address
 
 
 class Voter:
-    """Answers candidates. A vote is announced only once it is on disk (Raft, 5.2 and 5.4.1)."""
+    """Responds to candidates. A vote is announced only once it is on disk (Raft, 5.2 and 5.4.1)."""
 
     def __init__(
         self, replica: Replica, cluster_restart: ClusterRestart, follower_role: FollowerRole
@@ -33,11 +33,12 @@
         self.pending_vote: PendingVote | None = None
 
     def may_vote(self, now: float, message: pb.Message) -> bool:
-        """Whether this disk may vote for a candidate now, or a leader's lease may still count on it.
+        """Whether this disk may vote for a candidate now without breaking a leader's lease.
 
-        It may not vote while its vote is withheld, nor after a restart while it has forgotten whether it is.
-        The latter doesn't apply if all voters of this disk's newest entry have restarted and the candidate
-        holds the very same entry. The former doesn't apply if the leader itself has requested the election.
+        It may not vote while its vote is withheld from other candidates, unless the leader itself has
+        requested the election. After a restart it doesn't know whether its vote is withheld, so it waits for
+        `ClusterRestart.vote_withheld_until`, unless all voters of its newest entry have restarted and the
+        candidate holds exactly the same entry.
         """
         if now < self.cluster_restart.vote_withheld_until and not (
             last_position(message) == self.replica.entry.position
@@ -47,20 +48,20 @@
         return message.leadership_transfer or now >= self.follower_role.vote_withheld_until
 
     def is_eligible(self, now: float) -> bool:
-        """Whether this disk may be a candidate when the leader asks it to: it is a voter and can write."""
+        """Whether this disk may become a candidate at the leader's request: it is a voter and can write."""
         return self.replica.is_voter and self.replica.write_stalled_s(now) <= MAX_CANDIDATE_WRITE_STALL_S
 
     def may_start_election(self, now: float) -> bool:
-        """Whether this disk may become a candidate on its own: not before others might get its vote."""
+        """Whether this disk may become a candidate on its own: not while others can't get its vote."""
         restart_is_over = (
             now >= self.cluster_restart.vote_withheld_until or self.cluster_restart.all_members_restarted()
         )
         return self.is_eligible(now) and restart_is_over and now >= self.follower_role.vote_withheld_until
 
     def on_pre_vote(self, sender: Address, message: pb.Message, may_vote: bool) -> None:
-        """Answer whether this disk would vote for the sender in that term, which changes no state.
+        """Respond whether this disk would vote for the sender in that term, without changing any state.
 
-        If this disk's term isn't earlier, it is reported in any case.
+        If this disk's term is not earlier than the requested one, the response always reports it.
         """
         replica = self.replica
         response = replica.message(pb.PRE_VOTE_RESPONSE, message.disk)
@@ -73,10 +74,10 @@
         replica.send(sender, response)
 
     def on_request_vote(self, sender: Address, message: pb.Message) -> bool:
-        """Decide on a vote in the present term, and answer once it is durable.
+        """Decide on a vote in the current term, and respond once it is durable.
 
         Returns:
-            Whether the candidate has the vote.
+            Whether the vote was granted.
         """
         replica = self.replica
         if message.term < replica.term:
@@ -91,7 +92,7 @@
         return True
 
     def on_persisted(self) -> None:
-        """A write is durable: announce the vote if that is what was awaited."""
+        """Announce the pending vote once it is durable."""
         pending = self.pending_vote
         if pending is None or not self.replica.vote_is_persisted(pending.disk):
             return
--- a/gateway/drift/fleet_status.py
+++ b/gateway/drift/fleet_status.py
@@ -46,14 +46,14 @@
         "finding",
         "findings",
         "in_touch_since",
+        "last_contact_at",
         "last_found",
-        "last_heard_at",
         "version",
     )
 
     def __init__(self, now: float) -> None:
         self.in_touch_since = now  # without a gap
-        self.last_heard_at = 0.0
+        self.last_contact_at = 0.0
         self.version = 0
         self.digest = 0
         self.findings = 0  # number of its own findings
@@ -123,7 +123,7 @@
             return []
         self.checked_at = now
         for address, node in list(self.nodes.items()):
-            if now - node.last_heard_at > NODE_RETENTION_S:
+            if now - node.last_contact_at > NODE_RETENTION_S:
                 del self.nodes[address]
         findings: list[Finding] = []
         for address, node in self.nodes.items():
@@ -142,11 +142,11 @@
         if report.finding and (report.findings, report.finding) != (node.findings, node.finding):
             text = report.finding[:MAX_TEXT_LENGTH]
             findings.append(Finding(f"node {report.node}", text, "", report.version, "its own word"))
-        if now - node.last_heard_at > CONTACT_GAP_S:
+        if now - node.last_contact_at > CONTACT_GAP_S:
             node.in_touch_since = now
         elif node.version < self.version <= report.version:
             self.spread_s = now - self.acknowledged[self.version].at
-        node.last_heard_at = now
+        node.last_contact_at = now
         node.version = report.version
         node.digest = report.digest
         node.findings = report.findings
@@ -167,7 +167,7 @@
     def _lag_finding(self, now: float, address: Address, node: Node) -> list[Finding]:
         """A finding if a node in touch has reported for longer than `apply_s` that it lacks a version."""
         lag = self.lag(now, node)
-        is_late = node.last_heard_at - max(node.in_touch_since, now - lag) > self.apply_s
+        is_late = node.last_contact_at - max(node.in_touch_since, now - lag) > self.apply_s
         found = LagReported(self.version)
         if not is_late or node.last_found == found:
             return []
@@ -199,7 +199,7 @@
                 node.version,
                 node.digest,
                 self.lag(now, node),
-                now - node.last_heard_at,
+                now - node.last_contact_at,
                 node.findings,
                 node.finding,
             )
--- a/gateway/membership/change_log.py
+++ b/gateway/membership/change_log.py
@@ -31,10 +31,10 @@
 
 
 class _FollowerState:
-    __slots__ = ("last_heard_at", "position", "sent_at", "sent_position", "zone")
+    __slots__ = ("last_contact_at", "position", "sent_at", "sent_position", "zone")
 
     def __init__(self) -> None:
-        self.last_heard_at = 0.0
+        self.last_contact_at = 0.0
         self.position = NEEDS_SNAPSHOT
         self.sent_position = 0
         self.sent_at = -inf
@@ -42,7 +42,7 @@
 
     def is_live(self, now: float) -> bool:
         """Whether the follower was heard lately."""
-        return now - self.last_heard_at < FOLLOWER_LIVE_S
+        return now - self.last_contact_at < FOLLOWER_LIVE_S
 
 
 class ChangeLog:
@@ -105,7 +105,7 @@
                 return []
             follower = _FollowerState()
             self.followers[sender] = follower
-        follower.last_heard_at = now
+        follower.last_contact_at = now
         if follow.zone:
             follower.zone = follow.zone - 1
         is_valid = follow.log == self.id and self.floor <= follow.position <= self.position
@@ -143,7 +143,7 @@
                 del self.items[key]
                 self.floor = max(self.floor, item.number)
         for address, follower in list(self.followers.items()):
-            if now - follower.last_heard_at > FOLLOWER_RETENTION_S:
+            if now - follower.last_contact_at > FOLLOWER_RETENTION_S:
                 del self.followers[address]
         return self.push(now)
 
--- a/gateway/membership/controller.py
+++ b/gateway/membership/controller.py
@@ -200,8 +200,8 @@
         self.targets.tick(now, quorate)
         outputs: list[ControllerOutput] = [*self.leases.tick(now, quorate)]
         self.log.unreachable = [codec.address_hash(a) for a in self.follower.unresponsive(now)]
-        for source, last_heard_at in self.follower.lost(now, self.table.grace_s):
-            self.table.release_all(last_heard_at, source)
+        for source, last_contact_at in self.follower.lost(now, self.table.grace_s):
+            self.table.release_all(last_contact_at, source)
         suspicions_known = bool(self.follower.suspicions(now)) or not self.follower.sources
         outputs += self.leases.reconcile_removed(now, self.table.tick(now, suspicions_known))
         return [
--- a/gateway/membership/log_follower.py
+++ b/gateway/membership/log_follower.py
@@ -35,7 +35,7 @@
     """A source that is lost, and when it was last heard."""
 
     address: Address
-    last_heard_at: float
+    last_contact_at: float
 
 
 class ConfirmedConfig(NamedTuple):
@@ -57,7 +57,7 @@
         "config_version",
         "declared_lost",
         "followed_since",
-        "last_heard_at",
+        "last_contact_at",
         "last_heartbeats",
         "log",
         "next_heartbeat_at",
@@ -73,7 +73,7 @@
     def __init__(self, now: float) -> None:
         self.log = 0
         self.position = 0
-        self.last_heard_at = LONG_AGO
+        self.last_contact_at = LONG_AGO
         self.followed_since = now
         self.next_heartbeat_at = now
         self.requested_at = LONG_AGO
@@ -89,11 +89,11 @@
     @property
     def active_at(self) -> float:
         """When it was last heard, or first followed."""
-        return max(self.last_heard_at, self.followed_since)
+        return max(self.last_contact_at, self.followed_since)
 
     def heartbeat_interval(self, now: float, usual: float) -> float:
         """Seconds to the next heartbeat."""
-        is_unheard = self.last_heard_at < self.followed_since
+        is_unheard = self.last_contact_at < self.followed_since
         if is_unheard and now - self.followed_since < STARTUP_S:
             return FIRST_HEARTBEAT_S
         return usual if now - self.active_at < SLOW_AFTER_S else SLOW_HEARTBEAT_S
@@ -168,7 +168,7 @@
     def _add_running_config(self, now: float, state: _SourceState, follow: pb.Follow) -> None:
         config = self.running_config
         is_recent = now - self.running_config_at < REPORT_S
-        is_due = is_recent or now - state.last_heard_at > SOURCE_TIMEOUT_S
+        is_due = is_recent or now - state.last_contact_at > SOURCE_TIMEOUT_S
         if config is None or not (is_due or state.reports_sent % REPORT_EVERY == 0):
             return
         follow.version = config.version
@@ -188,7 +188,7 @@
         if state is None:
             return [], None
         state.declared_lost = False
-        state.last_heard_at = now
+        state.last_contact_at = now
         state.quorate = reply.quorate
         state.unreachable = frozenset(reply.unreachable)
         same_log = reply.log == state.log
@@ -234,7 +234,7 @@
 
     def reachable(self, now: float) -> list[Address]:
         """Sources that were heard within `SOURCE_TIMEOUT_S`."""
-        return [a for a, state in self.sources.items() if now - state.last_heard_at < SOURCE_TIMEOUT_S]
+        return [a for a, state in self.sources.items() if now - state.last_contact_at < SOURCE_TIMEOUT_S]
 
     def quorate(self, now: float) -> list[Address]:
         """Sources heard lately that are in contact with a majority of the core."""
--- a/gateway/membership/proxy.py
+++ b/gateway/membership/proxy.py
@@ -208,7 +208,7 @@
             *self.value_fetcher.tick(now),
             *self.view.tick(now),
         ]
-        for source, last_heard_at in self.follower.lost(now, self.table.grace_s):
-            self.table.release_all(last_heard_at, source)
+        for source, last_contact_at in self.follower.lost(now, self.table.grace_s):
+            self.table.release_all(last_contact_at, source)
         outputs += self.table.tick(now, bool(self.follower.suspicions(now)))
         return outputs
--- a/gateway/programs/controller_node.py
+++ b/gateway/programs/controller_node.py
@@ -332,7 +332,7 @@
         self.handle_shard_assigner(change)
         if leader_role is not None:
             peers = leader_role.peers.values()
-            live = [peer.address for peer in peers if now - peer.last_heard_at < PEER_ALIVE_S]
+            live = [peer.address for peer in peers if now - peer.last_contact_at < PEER_ALIVE_S]
             members = [member.address for member in raft.members]
             self.handle_shard_assigner(quota_events.LiveControllers((self.me, *live), members))
 
--- a/gateway/programs/status_report.py
+++ b/gateway/programs/status_report.py
@@ -14,7 +14,7 @@
     entry = raft.replica.entry
     leader_role = raft.leader_role
     peers = leader_role.peers.values() if leader_role is not None else ()
-    heard = {p.disk: round(now - p.last_heard_at, 3) for p in peers if p.last_heard_at > 0}
+    heard = {p.disk: round(now - p.last_contact_at, 3) for p in peers if p.last_contact_at > 0}
     return {
         "node": raft.address,
         "role": raft.role,
--- a/gateway/quota/__init__.py
+++ b/gateway/quota/__init__.py
@@ -1,4 +1,4 @@
-"""The quota plane: distributed rate limiting, with one count per tenant over all ingresses.
+"""The quota plane: distributed rate limiting, with one count per tenant across all proxies.
 
 Where to read on:
 
--- a/gateway/quota/attempt_history.py
+++ b/gateway/quota/attempt_history.py
@@ -1,14 +1,14 @@
-"""Attempts that a count has charged, so that a retry counts once and a refund is given once."""
+"""Charged attempts, so that a retry is counted only once and a unit is refunded only once."""
 
 from __future__ import annotations
 
-MIN_RETENTION_S = 3.0  # an attempt is remembered at least so long, and for two windows
+MIN_RETENTION_S = 3.0  # minimum time, and at least two windows, for which an attempt is remembered
 
 _REFUNDED = -1.0
 
 
 class AttemptHistory:
-    """The charged attempts of one tenant in two generations; the older one is dropped as a whole."""
+    """The charged attempts of one tenant in two generations; the older one is discarded as a whole."""
 
     __slots__ = ("charged", "previous", "rotate_at")
 
@@ -19,15 +19,15 @@
         self.rotate_at = now
 
     def is_charged(self, attempt_id: int) -> bool:
-        """Whether an attempt was charged and not refunded since."""
+        """Whether an attempt was charged and has not been refunded since."""
         return self.charged.get(attempt_id, _REFUNDED) >= 0 or self.previous.get(attempt_id, _REFUNDED) >= 0
 
     def add(self, attempt_id: int, window_began_at: float) -> None:
-        """Note that an attempt is charged in the window that began then."""
+        """Record that an attempt is charged in the window that began at this time."""
         self.charged[attempt_id] = window_began_at
 
     def refund(self, attempt_id: int) -> float | None:
-        """Note that an attempt is refunded.
+        """Record that an attempt is refunded.
 
         Returns:
             The start of the window in which it was charged; None if there is nothing to refund.
@@ -40,7 +40,7 @@
         return None
 
     def rotate_if_due(self, now: float, window_s: float) -> None:
-        """Begin a new generation once the newest one is old enough."""
+        """Start a new generation if the newest one is old enough."""
         if now < self.rotate_at:
             return
         retention_s = retention(window_s)
@@ -50,5 +50,5 @@
 
 
 def retention(window_s: float) -> float:
-    """Seconds for which an attempt is remembered at least."""
+    """Minimum time in seconds for which an attempt is remembered."""
     return max(MIN_RETENTION_S, 2 * window_s)
--- a/gateway/quota/client_count.py
+++ b/gateway/quota/client_count.py
@@ -1,4 +1,4 @@
-"""How many quota clients may have a share, and until when, as shard owners and clients report it."""
+"""An upper bound on the number of quota clients that may have a share, as reported by owners and clients."""
 
 from __future__ import annotations
 
@@ -7,43 +7,44 @@
 
 from gateway.quota.protocol import LEASE_MARGIN_S, SHARE_S
 
-OTHER_OWNER_DELAY_S = 2.5  # by which another owner may have heard a client after the owner that reports it
-RECENT_S = 1.5  # a quota client heard this lately is reported without the time since
-MAX_REPORTED_TIMES = 16  # quota clients whose time since is reported; others count as heard just now
-SHARE_ENDS_AFTER_S = SHARE_S + LEASE_MARGIN_S + OTHER_OWNER_DELAY_S  # from when a client was last heard
+# Another owner may have had contact with a client this much later than the reporting owner.
+OTHER_OWNER_DELAY_S = 2.5
+RECENT_S = 1.5  # for clients with contact more recent than this, no time is reported
+MAX_REPORTED_TIMES = 16  # clients whose time is reported; the others count as seen just now
+SHARE_ENDS_AFTER_S = SHARE_S + LEASE_MARGIN_S + OTHER_OWNER_DELAY_S  # after the last contact with a client
 
 
 class ClientCountReport(NamedTuple):
-    """A number of quota clients, and how long ago some of them were last heard, in milliseconds."""
+    """A number of quota clients, and the milliseconds since the last contact with some of them."""
 
     total: int
     last_heard_ms: list[int]
 
 
 class CountBound(NamedTuple):
-    """Until `until` there are at most so many quota clients that may have a share."""
+    """Before `until`, at most `clients` quota clients may have a share."""
 
     until: float
     clients: int
 
 
 class ClientCountBound:
-    """An upper bound on the number of quota clients that may have a share, which falls with time.
+    """An upper bound on the number of quota clients that may have a share; it decreases with time.
 
-    Bounds of several reporters are combined: the highest that hasn't ended counts.
+    Bounds from several reporters are combined; the highest one that has not expired applies.
     """
 
     def __init__(self) -> None:
-        self.bounds: list[CountBound] = []  # times fall, counts rise
+        self.bounds: list[CountBound] = []  # in order of decreasing times and increasing counts
 
     def count(self, now: float) -> int:
-        """The most quota clients that may have a share now."""
+        """The maximum number of quota clients that may have a share now."""
         while self.bounds and now >= self.bounds[-1].until:
             self.bounds.pop()
         return self.bounds[-1].clients if self.bounds else 0
 
     def update(self, now: float, total: int, last_heard_ms: Iterable[int]) -> None:
-        """Take a report of `total` quota clients, and of how long ago some of them were last heard."""
+        """Apply a report of `total` quota clients, some with the milliseconds since the last contact."""
         times = sorted(last_heard_ms)
         count = total - len(times)
         found = [CountBound(now + SHARE_ENDS_AFTER_S, count), *self.bounds]
@@ -56,7 +57,7 @@
                 self.bounds.append(bound)
 
     def report(self, now: float) -> ClientCountReport:
-        """The bound as a report, in the form that `update` takes."""
+        """The bound as a report in the form that `update` accepts."""
         last_heard_ms: list[int] = []
         before = 0
         for until, clients in self.bounds:
--- a/gateway/quota/client_registry.py
+++ b/gateway/quota/client_registry.py
@@ -1,6 +1,6 @@
-"""The quota clients of a shard owner: which are alive, which are unresponsive, and what they have reported.
+"""The quota clients of a shard owner: their liveness, and the shares they have reported.
 
-All times are seconds of the owner's steady clock; sets of shards are bitmasks.
+All times are seconds of the owner's monotonic clock; sets of shards are bitmasks.
 """
 
 from __future__ import annotations
@@ -13,62 +13,65 @@
 from gateway.quota.quota_pb2 import ClientHeartbeatReply
 from gateway.state_machine import Address
 
-MAX_CLIENTS = 1024  # quota clients remembered at most
-MAX_FORMER_INCARNATIONS = 8  # at one address; late messages of these are dropped
-CHECK_INTERVAL_S = 0.1  # between checks for unresponsive quota clients
+MAX_CLIENTS = 1024  # maximum number of quota clients
+MAX_FORMER_INCARNATIONS = 8  # per address; late messages of these are dropped
+CHECK_INTERVAL_S = 0.1  # interval between checks for unresponsive quota clients
 
 
 class ClientState:
-    """One quota client, as known to a shard owner."""
+    """A quota client as seen by a shard owner."""
 
     __slots__ = (
         "former_incarnations",
         "incarnation",
-        "last_heard_at",
+        "last_contact_at",
         "left_at",
         "reported_shards",
         "shares_expire_at",
     )
 
     def __init__(self, now: float, incarnation: int) -> None:
-        self.last_heard_at = now
+        self.last_contact_at = now
         self.incarnation = incarnation
         self.former_incarnations: deque[int] = deque(maxlen=MAX_FORMER_INCARNATIONS)
-        self.shares_expire_at = 0.0  # when its last share from this owner expires
-        self.reported_shards = 0  # shards owned here whose shares it has reported
-        self.left_at: float | None = None  # when this incarnation returned all its shares, to all owners
+        self.shares_expire_at = 0.0  # expiry of its last share from this owner
+        self.reported_shards = 0  # shards owned here for which it has reported its shares
+        self.left_at: float | None = None  # when this incarnation returned all its shares to all owners
 
     def extend_shares(self, now: float) -> None:
-        """Note that it has a share now, unless it left; it may admit by the share until its lease expires."""
+        """Record that it has a share now, usable until the share's lease expires, unless it has left."""
         if self.left_at is None:
             self.shares_expire_at = now + SHARE_S + LEASE_MARGIN_S
 
 
 class ClientRegistry:
-    """Liveness of the quota clients, and for which shards each has reported its shares.
+    """Tracks the liveness of quota clients, and the shards for which each has reported its shares.
 
-    `on_restart` is called with the address of a quota client that came back with a new incarnation.
+    `on_restart` is called with the address of a quota client that has returned with a new incarnation.
     """
 
     def __init__(self, on_restart: Callable[[Address], None]) -> None:
         self.on_restart = on_restart
         self.clients: dict[Address, ClientState] = {}
-        self.unresponsive: dict[Address, float] = {}  # quota clients, and when each was last heard
+        # Unresponsive quota clients, and the time of the last contact with each.
+        self.unresponsive: dict[Address, float] = {}
         self.epoch = 0  # changes whenever the units reserved for quota clients may have changed
         self.checked_at = 0.0
-        self.client_count = ClientCountBound()  # of those that may have shares, as quota clients report it
-        self.absent_since: list[float] = []  # for clients not heard lately, when each was last heard
+        self.client_count = ClientCountBound()  # clients that may have shares, as reported by quota clients
+        # Times of the last contact with clients that have not been in contact recently.
+        self.absent_since: list[float] = []
 
     def on_message(
         self, now: float, address: Address, incarnation: int, owner_unresponsive: bool = False
     ) -> ClientState | None:
-        """Note a message of a quota client.
+        """Record a message from a quota client.
 
         Args:
             now: Seconds of the owner's clock.
             address: The client's address.
-            incarnation: Of the client's process.
-            owner_unresponsive: The client gets no answers from this owner, and admits by its shares.
+            incarnation: The incarnation of the client's process.
+            owner_unresponsive: Whether the client gets no responses from this owner, and admits by its
+            shares.
 
         Returns:
             The client's state; None if there are too many clients.
@@ -83,7 +86,7 @@
             self._on_restart(address, client, incarnation)
         elif client.left_at is not None:
             return client  # a late or duplicated message
-        client.last_heard_at = now
+        client.last_contact_at = now
         if owner_unresponsive != (address in self.unresponsive):
             if owner_unresponsive:
                 self.unresponsive[address] = now
@@ -93,10 +96,10 @@
         return client
 
     def _on_restart(self, address: Address, client: ClientState, incarnation: int) -> None:
-        """A client came back with a new incarnation.
+        """Handle a client that has returned with a new incarnation.
 
-        What the earlier one reported stays valid: these shards have been owned here since, so the new one
-        can't have a share of their tenants from another owner.
+        The shares reported by the earlier incarnation remain valid: this process has owned these shards since
+        then, so the new incarnation can't have a share of their tenants from another owner.
         """
         client.former_incarnations.append(client.incarnation)
         client.incarnation = incarnation
@@ -105,7 +108,7 @@
         self.on_restart(address)
 
     def heartbeat_reply(self, now: float, number: int, unreported_shards: int) -> ClientHeartbeatReply:
-        """The answer to heartbeat `number` of a client that hasn't reported its shares of these shards."""
+        """Build the response to heartbeat `number` of a client with these unreported shards."""
         reply = ClientHeartbeatReply(
             number=number, client_count=len(self.clients), unreported_shards=unreported_shards
         )
@@ -113,38 +116,38 @@
         return reply
 
     def note_client_count(self, now: float, count: int, last_heard_ms: Sequence[int]) -> None:
-        """Take a client's report of how many clients there are, and how long ago some were last heard."""
+        """Apply a client's report of the client count and of the times since the last contact."""
         self.client_count.update(now, count, last_heard_ms)
 
     def note_reported(self, client: ClientState, shards: int) -> None:
-        """Note that a quota client has reported all its shares of these shards, which are owned here."""
+        """Record that a quota client has reported all its shares of these owned shards."""
         newly_reported = shards & ~client.reported_shards
         if newly_reported:
             client.reported_shards |= newly_reported
             self.epoch += 1
 
     def knows(self, address: Address, incarnation: int) -> bool:
-        """Whether `incarnation` is the newest one heard at an address."""
+        """Whether `incarnation` is the newest incarnation known at an address."""
         client = self.clients.get(address)
         return client is not None and client.incarnation == incarnation
 
     def has_ended(self, address: Address, incarnation: int) -> bool:
-        """Whether another incarnation has replaced this one at an address: its messages are late."""
+        """Whether another incarnation has replaced this one at its address: its messages are late."""
         client = self.clients.get(address)
         return client is not None and incarnation in client.former_incarnations
 
     def note_left(self, now: float, address: Address, client: ClientState) -> None:
-        """Note that a quota client has returned all its shares. It stays known as long as others count it."""
+        """Record that a client has returned all its shares; it stays known as long as others count it."""
         client.left_at = now
         client.shares_expire_at = 0.0
         self.unresponsive.pop(address, None)
         self.epoch += 1
 
     def has_unreported(self, now: float, shard: int, since: float) -> bool:
-        """Whether some quota client may have a share in a shard that it has not reported.
+        """Whether a quota client may have an unreported share in a shard.
 
-        Nobody but this owner has counted the shard since `since`: a client that left by then has no share,
-        and what it admitted by its share was admitted before.
+        Only this owner has counted the shard since `since`. A client that had left by then has no share, and
+        all units that it admitted by a share were admitted before.
         """
         accounted_for = sum(
             client.reported_shards >> shard & 1 or (client.left_at is not None and client.left_at <= since)
@@ -153,23 +156,23 @@
         return accounted_for < max(self.client_count.count(now), len(self.clients))
 
     def forget_reports(self, shards: int) -> None:
-        """Discard the reports about shards that are newly owned, or no longer owned."""
+        """Discard the reports about shards that were gained or lost."""
         self.epoch += 1
         for client in self.clients.values():
             client.reported_shards &= ~shards
 
     def check(self, now: float) -> None:
-        """Find quota clients that became unresponsive, and forget those whose shares are surely over."""
+        """Detect quota clients that became unresponsive, and remove those whose shares have expired."""
         if now < self.checked_at + CHECK_INTERVAL_S:
             return
         self.checked_at = now
         for address, client in list(self.clients.items()):
-            has_timed_out = client.last_heard_at + CLIENT_TIMEOUT_S <= now < client.shares_expire_at
+            has_timed_out = client.last_contact_at + CLIENT_TIMEOUT_S <= now < client.shares_expire_at
             if has_timed_out and address not in self.unresponsive:
-                self.unresponsive[address] = client.last_heard_at
+                self.unresponsive[address] = client.last_contact_at
                 self.epoch += 1
-            if now >= client.last_heard_at + SHARE_S + LEASE_MARGIN_S:
+            if now >= client.last_contact_at + SHARE_S + LEASE_MARGIN_S:
                 del self.clients[address]
                 self.unresponsive.pop(address, None)
-        absent = [c.last_heard_at for c in self.clients.values() if now >= c.last_heard_at + RECENT_S]
+        absent = [c.last_contact_at for c in self.clients.values() if now >= c.last_contact_at + RECENT_S]
         self.absent_since = sorted(absent)[:MAX_REPORTED_TIMES]
--- a/gateway/quota/decision_statistics.py
+++ b/gateway/quota/decision_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of a quota client's decisions, and of the time they took, since its process started."""
+"""Statistics of a quota client's decisions and of their latency, since its process started."""
 
 from __future__ import annotations
 
@@ -14,29 +14,31 @@
     ADMITTED_BY_OWNER = 0
     ADMITTED_BY_SHARE = 1
     REJECTED_BY_OWNER = 2
-    REJECTED_LOCALLY = 3  # after the owner's verdict that nothing is left in the window
+    REJECTED_LOCALLY = 3  # after the owner reported that nothing is left in the window
     SHARE_EXHAUSTED = 4  # the owner didn't decide, and the local share is exhausted or missing
 
 
 DECISION_LABELS = ("holder", "share", "over", "unasked", "short")
-"""The kinds of decision as reports and metrics name them."""
+"""Names of the decision kinds in reports and metrics."""
 
 LATENCY_LABELS = ("holder", "share", "refused")
-"""Groups of decisions by which their times are counted."""
+"""Groups of decisions whose latencies are reported together."""
 
 LATENCY_GROUPS = (0, 1, 2, 2, 2)
-"""By kind of decision, its index in `LATENCY_LABELS`."""
+"""For each decision kind, the index of its group in `LATENCY_LABELS`."""
 
 BUCKET_EDGES = tuple(0.00025 * 2 ** (k / 4) for k in range(41))
-"""Bounds of the histogram's buckets in seconds: 0.25 ms to 256 ms, each 19% above the one before. A bucket
-holds the times below its edge; the last bucket, which has no edge, those beyond all."""
+"""Upper bounds of the histogram's buckets in seconds: 0.25 ms to 256 ms, each 19% above the previous one.
+
+One more bucket contains all greater times.
+"""
 
 
 class DecisionStatistics:
-    """Counters that only grow.
+    """Counters that never decrease.
 
-    `decided` has, by tenant and precedence, a counter for each `DecisionKind`; `times` and `seconds` have,
-    for each of `LATENCY_LABELS`, the histogram of decision times and the sum of these times.
+    `decided` maps a tenant and precedence to a counter for each `DecisionKind`. `times` and `seconds`
+    contain, for each of `LATENCY_LABELS`, the histogram and the sum of decision times.
     """
 
     def __init__(self) -> None:
--- a/gateway/quota/events.py
+++ b/gateway/quota/events.py
@@ -1,7 +1,7 @@
 """Input events of the quota plane's state machines. Each docstring says when the event is raised.
 
-The machines are `QuotaClient` (at each proxy), `ShardOwner` (at each controller) and `ShardAssigner` (at the
-leader of the core).
+The state machines are `QuotaClient` (at each proxy), `ShardOwner` (at each controller) and `ShardAssigner`
+(at the leader of the core).
 """
 
 from __future__ import annotations
@@ -14,44 +14,44 @@
 
 
 class Received(NamedTuple):
-    """Raised when a message of the quota plane has arrived."""
+    """Raised when a message of the quota plane is received."""
 
     sender: Address
     message: Message
 
 
 class Tick(NamedTuple):
-    """Raised when time has passed.
+    """Raised to advance timers.
 
-    Each 0.1 s for `ShardAssigner` and `ShardOwner`, at `due()` for `QuotaClient`.
+    It is raised every 0.1 s for `ShardAssigner` and `ShardOwner`, and at `due()` for `QuotaClient`.
     """
 
 
 class RateLimit(NamedTuple):
-    """A tenant's limit: requests a second, and a burst in requests. A rate of 0 means no limit."""
+    """A tenant's limit: requests per second, and a burst in requests. A rate of 0 means no limit."""
 
     rate: float
     burst: float
 
 
 class LimitedTenant(Protocol):
-    """A tenant of the configuration, as far as its limit goes."""
+    """The part of a configured tenant that defines its limit."""
 
     @property
     def label(self) -> str:
-        """Its name."""
+        """The tenant's name."""
 
     @property
     def rate(self) -> float:
-        """Units a second; 0: no limit."""
+        """Units per second; 0 means no limit."""
 
     @property
     def burst(self) -> float:
-        """Units beyond the rate."""
+        """Units that may be used beyond the rate."""
 
 
 class Allowances(NamedTuple):
-    """Raised when a configuration is applied: the tenants' limits by label."""
+    """Raised when a configuration is applied; contains the tenants' limits by label."""
 
     tenants: Mapping[str, RateLimit]
 
@@ -62,9 +62,9 @@
 
 
 class ChargeRequest(NamedTuple):
-    """Raised when a request wants to be admitted.
+    """Raised when a request asks for admission.
 
-    `timeout_s` is how long to wait for the shard owner's verdict.
+    `timeout_s` is the time to wait for the shard owner's verdict.
     """
 
     attempt_id: int
@@ -74,27 +74,28 @@
 
 
 class Refund(NamedTuple):
-    """Raised when an admitted request has not run and never will: its unit is refunded."""
+    """Raised when an admitted request has not run and never will, so that its unit is refunded."""
 
     attempt_id: int
 
 
 class Leave(NamedTuple):
-    """Raised when this quota client shuts down and all its requests are done: it returns its shares."""
+    """Raised when this quota client shuts down and all its requests have finished: it returns its shares."""
 
 
 class ShardMapReceived(NamedTuple):
-    """Raised when a shard map published by the `ShardAssigner` has arrived, in serialized form."""
+    """Raised when a serialized shard map published by the `ShardAssigner` is received."""
 
     data: bytes
 
 
 class LeadershipChange(NamedTuple):
-    """Raised when this process begins or ceases to lead the core, in `term` (0: it doesn't).
+    """Raised when this process becomes the leader of the core in `term`, or ceases to lead (`term` 0).
 
-    With `has_leader_lease` nobody else leads by now. `leaderless_since` is given if this is the first leader
-    since all processes of the core restarted, the last of them at that steady time: until then others may
-    have owned shards, and from then until this term nobody did. Otherwise it is None.
+    With `has_leader_lease`, no other leader exists any more. `leaderless_since` is set if this is the first
+    leader since all processes of the core restarted, to the monotonic time at which the last of them started.
+    Others may have owned shards before that time; from then until this term, nobody did. Otherwise it is
+    None.
     """
 
     term: int
@@ -103,9 +104,9 @@
 
 
 class LiveControllers(NamedTuple):
-    """Raised when the live controllers change.
+    """Raised when the set of live controllers changes.
 
-    `members`, if known, are all that may have a lease from an earlier leader.
+    `members`, if known, contains every controller that may have a lease from an earlier leader.
     """
 
     addresses: Collection[Address]
@@ -113,7 +114,7 @@
 
 
 class SetLeader(NamedTuple):
-    """Raised when the leader changes that grants a shard owner its lease; None while there is none."""
+    """Raised when the leader that grants a shard owner its lease changes; None while there is no leader."""
 
     address: Address | None
 
--- a/gateway/quota/local_quota.py
+++ b/gateway/quota/local_quota.py
@@ -1,7 +1,7 @@
-"""A quota client's state of one tenant: the owner's newest verdict, and the local share of its allowance.
+"""A quota client's state for one tenant: the owner's newest verdict, and the local share of the allowance.
 
-The share is what the client admits requests by while the owner doesn't answer. Sizes of shares are in parts
-of the allowance (`FULL_SHARE` is all of it), times in seconds of the steady clock.
+The client admits requests by its share while the owner doesn't respond. Share sizes are fractions of the
+allowance in units of 1 / `FULL_SHARE`; times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,26 +12,28 @@
 from gateway.state_machine import LONG_AGO, Address
 
 INITIAL_CREDIT_WINDOWS = 0.3
-"""Windows' worth of the share that can be spent at once if the owner falls silent without over-demand."""
+"""Windows' worth of the share available at once if the owner stops responding without over-demand."""
 
-MAX_HANDED_OVER_WINDOWS = 0.3  # windows' worth of unspent share that count when a new owner takes over
-MAX_UNSPENT_WINDOWS = 1.2  # windows' worth of unspent share that are kept
-OVER_DEMAND_WINDOWS = 2  # after a verdict of over-demand, the share accrues later for so many windows
-LOCAL_REJECTION_S = 0.25  # after a verdict that nothing is left, requests are rejected locally for so long
+# Windows' worth of the unspent share that remain valid when a new owner takes over.
+MAX_HANDED_OVER_WINDOWS = 0.3
+MAX_UNSPENT_WINDOWS = 1.2  # maximum number of windows' worth of unspent share
+# Accrual of the share is delayed for this many windows after a verdict of over-demand.
+OVER_DEMAND_WINDOWS = 2
+LOCAL_REJECTION_S = 0.25  # requests are rejected locally for this long after a verdict that nothing is left
 
 
 class LocalQuota:
-    """The local share of one tenant, whose units accrue evenly from where the owner's count stood last.
+    """The local share of one tenant. Its units accrue evenly, starting from the owner's last known count.
 
-    While the tenant's demand exceeds its allowance, the share accrues only from the second window on: the
-    owner can't know in the first one that this quota client is cut off.
+    While the tenant's demand exceeds its allowance, the share starts to accrue in the second window, because
+    in the first window the owner can't know yet that this quota client is disconnected.
 
     Args:
         label: The tenant's label.
         number: The tenant's number in messages.
         window: The tenant's windows.
-        threshold: In (0, 1], drawn once per quota client, so that shares of less than a unit come to their
-            sum over many quota clients.
+        threshold: A random number in (0, 1] per quota client, so that fractional shares of many quota clients
+            add up to their sum.
     """
 
     __slots__ = (
@@ -63,18 +65,18 @@
         self.share_expires_at = 0.0
         self.share_owner: Address | None = None  # the owner that granted the share
         self.share_number = 0
-        self.share_charged_at = 0.0  # when the charge was sent whose verdict granted the share
-        self.accrual_start = 0.0  # from when units accrue
-        self.last_over_demand_at = LONG_AGO  # last verdict of over-demand
-        self.spent = 0  # units admitted by share
-        self.remaining = 0  # units left in the window, by the newest verdict
-        self.remaining_known_at = LONG_AGO  # when that came
-        self.exhausted_until = 0.0  # nothing is left until then
-        self.window_ends_at = 0.0  # of the owner's window
+        self.share_charged_at = 0.0  # send time of the charge whose verdict granted the share
+        self.accrual_start = 0.0  # time from which units accrue
+        self.last_over_demand_at = LONG_AGO  # time of the last verdict of over-demand
+        self.spent = 0  # units admitted by the share
+        self.remaining = 0  # units left in the window according to the newest verdict
+        self.remaining_known_at = LONG_AGO  # time of that verdict
+        self.exhausted_until = 0.0  # nothing is left in the window before this time
+        self.window_ends_at = 0.0  # end of the owner's window
         self.unreported_rejections: dict[int, int] = {}  # requests rejected locally, by precedence
 
     def on_verdict(self, now: float, sender: Address, charged_at: float, verdict: Verdict) -> None:
-        """Take the verdict of an open count on a charge that was sent at `charged_at`."""
+        """Apply the verdict of an open count on a charge that was sent at `charged_at`."""
         if verdict.share_number and charged_at >= self.share_charged_at:
             self.share_owner = sender
             self.share_number = verdict.share_number
@@ -96,29 +98,29 @@
         self.accrual_start = max(self.accrual_start, accrual_start)
 
     def record_local_rejection(self, precedence: int) -> None:
-        """Count a request that is rejected locally; the owner hears of it with the next charge."""
+        """Count a locally rejected request, to be reported to the owner with the next charge."""
         level = min(precedence, LOWEST_PRECEDENCE)
         self.unreported_rejections[level] = self.unreported_rejections.get(level, 0) + 1
 
     def has_share(self, now: float) -> bool:
-        """Whether there is a share that hasn't expired."""
+        """Whether there is a share that has not expired."""
         return self.share_size > 0 and now < self.share_expires_at
 
     def give_up_share(self) -> None:
-        """Drop the share, which is returned to its owner."""
+        """Discard the share, because it is returned to its owner."""
         self.share_size = 0
         self.share_expires_at = 0.0
         self.share_owner = None
 
     def accrues_in_s(self, now: float) -> float:
-        """From when the share's units accrue, in seconds after now; of accrued units only some count."""
+        """Seconds until the share starts to accrue; negative for accrued units, which are limited."""
         return max(self.accrual_start - now, -MAX_HANDED_OVER_WINDOWS * self.window.length_s)
 
     def try_spend(self, now: float) -> float:
         """Admit one unit by the share.
 
         Returns:
-            0 if there is one, else the seconds until there might be.
+            0 if a unit is available, otherwise the number of seconds until one may be.
         """
         if not self.has_share(now):
             return self.window.length_s
@@ -133,7 +135,7 @@
         return 0.0
 
     def undo_spend(self) -> None:
-        """Return a unit to the share: it may be spent again, but stays in the total reported as spent."""
+        """Return a unit to the share, to be spent again; the total reported as spent is unchanged."""
         if self.share_size:
             units_per_window = self.share_size / FULL_SHARE * self.window.allowance
             self.accrual_start -= self.window.length_s / units_per_window
--- a/gateway/quota/outputs.py
+++ b/gateway/quota/outputs.py
@@ -7,13 +7,13 @@
 from gateway.state_machine import FencingToken, Send
 
 OVER_ALLOWANCE = "over the allowance"
-"""Reason of a rejection: the tenant has used its allowance up."""
+"""Reason of a rejection: the tenant has used up its allowance."""
 
 
 class ChargeDecision(NamedTuple):
-    """The answer to a `ChargeRequest`.
+    """The response to a `ChargeRequest`.
 
-    A rejection has the seconds to wait before a retry, and its reason.
+    A rejection includes its reason and the number of seconds to wait before a retry.
     """
 
     attempt_id: int
@@ -23,7 +23,7 @@
 
 
 class PublishShardMap(NamedTuple):
-    """A new shard map for all quota clients, newer than any with a lower fencing token."""
+    """A new shard map for all quota clients; it supersedes any map with a lower fencing token."""
 
     fencing_token: FencingToken
     data: bytes
--- a/gateway/quota/owner_links.py
+++ b/gateway/quota/owner_links.py
@@ -1,4 +1,4 @@
-"""A quota client's links to the shard owners: the shards of each, whether it answers, what it was sent."""
+"""A quota client's links to shard owners: their shards, their liveness, and the heartbeats sent to them."""
 
 from __future__ import annotations
 
@@ -12,21 +12,24 @@
 from gateway.quota.quota_pb2 import ClientHeartbeat, ClientHeartbeatReply, Message, ShardMap
 from gateway.state_machine import LONG_AGO, Address, FencingToken, Send
 
-MAX_MISSED_REPLIES = 2  # unanswered messages in a row after which an owner counts as unresponsive
-IDLE_HEARTBEAT_S = 1.0  # interval of heartbeats to an owner that gets charges all the time or gave no share
-LEAVE_RETRY_S = 0.08  # interval of messages to an owner that has not answered that this quota client leaves
-MAX_LEAVE_ATTEMPTS = 3  # such messages to each owner; one that gets none waits for the shares to expire
+MAX_MISSED_REPLIES = 2  # an owner counts as unresponsive after this many unanswered messages in a row
+# Heartbeat interval for an owner that receives charges continuously or has granted no share.
+IDLE_HEARTBEAT_S = 1.0
+# Interval between messages to an owner that has not confirmed that this quota client is leaving.
+LEAVE_RETRY_S = 0.08
+# Number of such messages per owner; an owner that misses all of them waits for the shares to expire.
+MAX_LEAVE_ATTEMPTS = 3
 VIEW_REPORT_S = 5.0  # interval of heartbeats that report this quota client's views of the counts
 
 
 class OwnerLink:
-    """The state of the link to one shard owner. Times are seconds of the steady clock."""
+    """The state of the link to one shard owner. Times are seconds of the monotonic clock."""
 
     __slots__ = (
         "address",
         "heartbeat_number",
         "heartbeat_sent_at",
-        "last_heard_at",
+        "last_contact_at",
         "last_sent_at",
         "missed_replies",
         "shards",
@@ -37,27 +40,27 @@
     def __init__(self, address: Address) -> None:
         self.address = address
         self.shards = 0  # bitmask
-        self.last_heard_at = LONG_AGO
+        self.last_contact_at = LONG_AGO
         self.last_sent_at = LONG_AGO
         self.missed_replies = 0
-        self.heartbeat_number = 0  # of the newest heartbeat
+        self.heartbeat_number = 0  # number of the newest heartbeat
         self.heartbeat_sent_at = LONG_AGO
-        self.shares_reported = False  # whether the owner knows all shares in its shards
+        self.shares_reported = False  # whether the owner has received all shares of its shards
         self.views_reported_at = LONG_AGO
 
     @property
     def is_unresponsive(self) -> bool:
-        """Whether the owner has not answered lately."""
+        """Whether the owner has not responded recently."""
         return self.missed_replies >= MAX_MISSED_REPLIES
 
     def on_reply(self, now: float) -> None:
-        """The owner has sent a message."""
-        self.last_heard_at = now
+        """Record that a message from the owner was received."""
+        self.last_contact_at = now
         self.missed_replies = 0
 
     def on_no_reply(self, since: float) -> None:
-        """A message sent at `since` has had no answer, unless the owner was heard after it."""
-        if self.last_heard_at < since:
+        """Record that a message sent at `since` was not answered, unless the owner has sent one since."""
+        if self.last_contact_at < since:
             self.missed_replies += 1
 
 
@@ -69,13 +72,14 @@
         self.links: dict[Address, OwnerLink] = {}
         self.link_of_shard: list[OwnerLink | None] = [None] * SHARDS
         self.fencing_token = FencingToken(0, 0)
-        self.client_count = ClientCountBound()  # quota clients that may have shares, as owners report it
-        self.next_check_at = 0.0  # for owners that need a heartbeat
-        self.unacknowledged_leaves: dict[Address, ClientHeartbeat] = {}  # last heartbeats, not answered yet
-        self.leave_attempts = 0  # how often they were sent
+        self.client_count = ClientCountBound()  # clients that may have shares, as reported by owners
+        self.next_check_at = 0.0  # next check for owners that need a heartbeat
+        # Final heartbeats that have not been answered.
+        self.unacknowledged_leaves: dict[Address, ClientHeartbeat] = {}
+        self.leave_attempts = 0  # number of times they were sent
 
     def apply_shard_map(self, now: float, data: bytes) -> None:
-        """Adopt a serialized shard map, unless it is malformed or a newer one is known."""
+        """Apply a serialized shard map, unless it is malformed or superseded."""
         try:
             shard_map = ShardMap.FromString(data)
         except DecodeError:
@@ -100,7 +104,7 @@
         self.next_check_at = now
 
     def on_heartbeat_reply(self, now: float, link: OwnerLink, reply: ClientHeartbeatReply) -> None:
-        """Take an owner's answer to a heartbeat."""
+        """Handle an owner's response to a heartbeat."""
         self.client_count.update(now, reply.client_count, reply.last_heard_ms)
         last = self.unacknowledged_leaves.get(link.address)
         if last is not None and reply.number == last.number:
@@ -108,7 +112,7 @@
         link.shares_reported = not reply.unreported_shards & link.shards
 
     def tick(self, now: float, local_quotas: Iterable[LocalQuota]) -> list[Send]:
-        """Send a heartbeat to each owner that needs one now."""
+        """Send a heartbeat to each owner that needs one."""
         if now < self.next_check_at:
             return []
         self.next_check_at = now + CLIENT_HEARTBEAT_S / 2
@@ -122,7 +126,7 @@
         ]
 
     def leave(self, now: float, local_quotas: Iterable[LocalQuota]) -> list[Send]:
-        """Return all shares, with the units admitted by them; the shares must not be used from now on."""
+        """Return all shares together with the units admitted by them; they must not be used afterwards."""
         quotas = list(local_quotas)
         with_share = [quota for quota in quotas if quota.has_share(now)]
         for link in self.links.values():
@@ -136,7 +140,7 @@
         return self.retry_leave(now)
 
     def retry_leave(self, now: float) -> list[Send]:
-        """Repeat the last heartbeat to the owners that have not answered it, up to a limit."""
+        """Repeat the final heartbeat to owners that have not answered it, up to a limit."""
         self.next_check_at = now + LEAVE_RETRY_S
         if self.leave_attempts >= MAX_LEAVE_ATTEMPTS:
             self.unacknowledged_leaves = {}
@@ -154,9 +158,10 @@
     def _heartbeat(
         self, now: float, link: OwnerLink, with_share: list[LocalQuota], quotas: list[LocalQuota]
     ) -> ClientHeartbeat:
-        """The next heartbeat to an owner.
+        """Build the next heartbeat to an owner.
 
-        It has this client's shares until the owner knows them, and at times its views of the counts.
+        It contains this client's shares until the owner has received them, and periodically its views of the
+        counts.
         """
         link.on_no_reply(link.heartbeat_sent_at)
         link.heartbeat_number += 1
@@ -200,7 +205,7 @@
 
 
 def _add_views(now: float, heartbeat: ClientHeartbeat, link: OwnerLink, quotas: list[LocalQuota]) -> None:
-    """Add what has become known of the owner's counts since the last report."""
+    """Add the views that have changed since the last report."""
     for quota in quotas:
         if quota.remaining_known_at > link.views_reported_at and _is_counted_by(quota, link):
             heartbeat.views.add(
--- a/gateway/quota/precedence_demand.py
+++ b/gateway/quota/precedence_demand.py
@@ -1,4 +1,4 @@
-"""A tenant's demand by precedence: how much of the rest of a window higher precedence is going to need."""
+"""A tenant's demand by precedence, used to estimate what higher precedences will need in a window."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 PRECEDENCE_LEVELS = LOWEST_PRECEDENCE + 1
 SMOOTHING = 0.3  # weight of the newest window in moving averages
-RESERVED_DEVIATIONS = 1.5  # standard deviations reserved for higher precedence over its typical demand
+# Standard deviations reserved for higher precedences on top of their average demand.
+RESERVED_DEVIATIONS = 1.5
 
 
 class PrecedenceDemand:
-    """Requests in this window by precedence level, and their moving averages a window."""
+    """Requests by precedence level in the current window, and their moving averages per window."""
 
     __slots__ = ("current", "typical")
 
@@ -21,11 +22,11 @@
         self.typical = [0.0] * PRECEDENCE_LEVELS
 
     def record(self, level: int, requests: int) -> None:
-        """Count requests of a level in this window."""
+        """Count requests of a level in the current window."""
         self.current[level] += requests
 
     def begin_window(self, skipped: bool) -> None:
-        """Begin a window; `skipped` if at least one passed without a request."""
+        """Start a window; `skipped` means that at least one window passed without a request."""
         self.typical = [
             typical + SMOOTHING * ((0 if skipped else current) - typical)
             for typical, current in zip(self.typical, self.current, strict=True)
@@ -33,7 +34,7 @@
         self.current = [0] * PRECEDENCE_LEVELS
 
     def reserved_for_higher(self, level: int, elapsed: float) -> float:
-        """Units that requests above a level are unlikely to exceed in the rest of this window.
+        """Units that requests above a level are unlikely to exceed in the remainder of this window.
 
         `elapsed` is the fraction of the window that has passed.
         """
@@ -42,5 +43,5 @@
 
 
 def level_of(precedence: int) -> int:
-    """The level of a precedence: those beyond the lowest level count as that one."""
+    """The level of a precedence; precedences below the lowest level are treated as that level."""
     return precedence if precedence < PRECEDENCE_LEVELS else LOWEST_PRECEDENCE
--- a/gateway/quota/quota_client.py
+++ b/gateway/quota/quota_client.py
@@ -1,4 +1,4 @@
-"""The quota client at a proxy: charges requests at shard owners, and admits by its shares without them."""
+"""The quota client at a proxy: charges requests at shard owners, or admits them by its shares."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 from gateway.quota.window import plan
 from gateway.state_machine import Address, Send
 
-MIN_RETRY_AFTER_S = 0.05  # bounds of the wait in a rejection
-MAX_RETRY_AFTER_S = 2.0
-FIRST_RETRY = 2  # the attempt after the first part of a charge's timeout,
-LAST_RETRY = 3  # and the one after it, where the share is exhausted
-FIRST_RETRY_DIVISOR = 3  # of a charge's timeout: after that part of it the charge is sent again
+MIN_RETRY_AFTER_S = 0.05  # lower bound of the wait in a rejection
+MAX_RETRY_AFTER_S = 2.0  # upper bound of the wait in a rejection
+FIRST_RETRY = 2  # number of the attempt after the first part of a charge's timeout
+LAST_RETRY = 3  # number of the attempt after the complete timeout, if the share is exhausted
+FIRST_RETRY_DIVISOR = 3  # a charge is first sent again after this part of its timeout
 
-# Why the owner didn't decide, in the reasons of rejections.
+# Reasons why the owner didn't decide, as given in rejections.
 NO_OWNER = "no shard owner"
 UNRESPONSIVE_OWNER = "shard owner unresponsive"
 COUNT_NOT_OPEN = "count not open"
@@ -40,10 +40,10 @@
 
 
 class QuotaView(NamedTuple):
-    """What a quota client knows of a tenant's count.
+    """A quota client's view of a tenant's count.
 
-    Units `remaining` by the newest verdict, the verdict's age in seconds, the allowance, and the own share in
-    units a window.
+    `remaining` is the number of units according to the newest verdict, `age_s` the age of that verdict in
+    seconds, and `share` the client's own share in units per window.
     """
 
     remaining: int
@@ -53,10 +53,10 @@
 
 
 class QuotaClient:
-    """State machine that charges a proxy's requests to their tenants' allowances. Needs a `Tick` at `due()`.
+    """State machine that charges a proxy's requests to their tenants' allowances.
 
-    `span_s` is the window of the rule QUOTA (quota-window-s); `rng` draws the incarnation and the thresholds
-    of the shares.
+    It must receive a `Tick` at `due()`. `span_s` is the window of the rule QUOTA (quota-window-s), and `rng`
+    is used to draw the incarnation and the thresholds of the shares.
     """
 
     def __init__(self, span_s: float, rng: random.Random) -> None:
@@ -67,11 +67,11 @@
         self.links = OwnerLinks(self.incarnation)
         self.statistics = DecisionStatistics()
         self.charges = PendingCharges()
-        self.leaving = False  # its shares are returned, and it takes no others
-        self.timers: list[tuple[float, int]] = []  # heap of times and attempts
+        self.leaving = False  # its shares have been returned, and it accepts no others
+        self.timers: list[tuple[float, int]] = []  # heap of times and attempt ids
 
     def handle(self, now: float, event: ClientEvent) -> list[ClientOutput]:
-        """Process one event at steady time `now` (seconds); returns messages to send and decisions."""
+        """Process one event at monotonic time `now` (seconds); returns messages to send and decisions."""
         match event:
             case ChargeRequest():
                 return self._request_charge(now, event)
@@ -94,16 +94,16 @@
 
     @property
     def has_left(self) -> bool:
-        """Whether each owner knows that this quota client leaves, or has been sent that often enough."""
+        """Whether each owner has confirmed that this client is leaving, or has been informed often enough."""
         return self.leaving and not self.links.unacknowledged_leaves
 
     def due(self) -> float:
-        """The steady time at which the next `Tick` is needed."""
+        """The monotonic time at which the next `Tick` is needed."""
         due = self.links.next_check_at
         return min(self.timers[0][0], due) if self.timers else due
 
     def views(self, now: float) -> dict[str, QuotaView]:
-        """What is known of each tenant's count, by label."""
+        """The view of each tenant's count, by label."""
         views = {}
         for label, quota in self.local_quotas.items():
             allowance = quota.window.allowance
@@ -112,7 +112,7 @@
         return views
 
     def _leave(self, now: float) -> list[ClientOutput]:
-        """Return the shares. Requests that still wait or come are rejected, unless an owner admits them."""
+        """Return the shares. Waiting and further requests are rejected unless an owner admits them."""
         self.leaving = True
         outputs: list[ClientOutput] = [*self.links.leave(now, self.local_quotas.values())]
         for local_quota in self.local_quotas.values():
@@ -122,13 +122,13 @@
     # Requests.
 
     def _request_charge(self, now: float, request: ChargeRequest) -> list[ClientOutput]:
-        """Charge a request at its shard's owner, or decide at once if it has no limit or no owner answers."""
+        """Charge a request at the owner of its shard; without a limit or an owner, decide immediately."""
         local_quota = self.local_quotas.get(request.tenant)
         if local_quota is None:
             return [ChargeDecision(request.attempt_id, admitted=True)]
-        known = self.charges.get_recent(request.attempt_id)
-        if known is not None and known.state is ChargeState.WAITING:
-            known.requests += 1
+        previous = self.charges.get_recent(request.attempt_id)
+        if previous is not None and previous.state is ChargeState.WAITING:
+            previous.requests += 1
             return []
         if now < local_quota.exhausted_until:
             return [self._reject_locally(now, request, local_quota)]
@@ -144,14 +144,14 @@
         return [self._charge_message(now, request.attempt_id, charge, link)]
 
     def _reject_locally(self, now: float, request: ChargeRequest, local_quota: LocalQuota) -> ChargeDecision:
-        """Reject a request without a charge: the owner has said that nothing is left in the window."""
+        """Reject a request without a charge: the owner reported that nothing is left in the window."""
         local_quota.record_local_rejection(request.precedence)
         self.statistics.count(DecisionKind.REJECTED_LOCALLY, request.tenant, request.precedence, 0.0)
         retry_after_s = max(MIN_RETRY_AFTER_S, local_quota.window_ends_at - now)
         return ChargeDecision(request.attempt_id, False, retry_after_s, OVER_ALLOWANCE)
 
     def _charge_message(self, now: float, attempt_id: int, pending: PendingCharge, link: OwnerLink) -> Send:
-        """The message that charges the request at the owner."""
+        """Build the message that charges the request at the owner."""
         local_quota = pending.local_quota
         charge = Charge(id=attempt_id, tenant=local_quota.number, incarnation=self.incarnation)
         if pending.precedence:
@@ -173,7 +173,7 @@
     def _admit(
         self, now: float, attempt_id: int, charge: PendingCharge, state: ChargeState, kind: DecisionKind
     ) -> list[ClientOutput]:
-        """Admit a charge, by the owner or by the share; one decision for each request that waits for it."""
+        """Admit a charge, by the owner or by the share; returns a decision for each waiting request."""
         charge.state = state
         self._count(now, charge, kind)
         return [ChargeDecision(attempt_id, admitted=True)] * charge.requests
@@ -187,7 +187,7 @@
         wait_s: float,
         reason: str,
     ) -> list[ClientOutput]:
-        """Reject a charge; one decision for each request that waits for it."""
+        """Reject a charge; returns a decision for each waiting request."""
         charge.state = ChargeState.REJECTED
         self._count(now, charge, kind)
         retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
@@ -200,14 +200,14 @@
     def _decide_by_share(
         self, now: float, attempt_id: int, charge: PendingCharge, reason: str
     ) -> list[ClientOutput]:
-        """Decide by the local share; `reason` says why the owner didn't decide."""
+        """Decide by the local share; `reason` explains why the owner didn't decide."""
         wait_s = charge.local_quota.try_spend(now)
         return self._decide_by_spent(now, attempt_id, charge, wait_s, reason)
 
     def _decide_by_spent(
         self, now: float, attempt_id: int, charge: PendingCharge, wait_s: float, reason: str
     ) -> list[ClientOutput]:
-        """Decide by what `LocalQuota.try_spend` has returned: 0 if it admits, else seconds to wait."""
+        """Decide by the result of `LocalQuota.try_spend`: 0 admits, otherwise it is the time to wait."""
         if not wait_s:
             kind = DecisionKind.ADMITTED_BY_SHARE
             return self._admit(now, attempt_id, charge, ChargeState.ADMITTED_BY_SHARE, kind)
@@ -216,7 +216,7 @@
         return self._reject(now, attempt_id, charge, kind, wait_s, f"{reason}, {share}")
 
     def _refund(self, attempt_id: int) -> list[ClientOutput]:
-        """Refund the unit of a request that was admitted and has not run."""
+        """Refund the unit of a request that was admitted but has not run."""
         charge = self.charges.get(attempt_id)
         if charge is None:
             return []
@@ -233,7 +233,7 @@
     # Messages.
 
     def _receive(self, now: float, sender: Address, message: Message) -> list[ClientOutput]:
-        """Process a message of a shard owner."""
+        """Handle a message from a shard owner."""
         link = self.links.links.get(sender)
         if link is not None:
             link.on_reply(now)
@@ -247,11 +247,11 @@
     def _on_verdict(
         self, now: float, sender: Address, link: OwnerLink | None, verdict: Verdict
     ) -> list[ClientOutput]:
-        """Decide the request by an owner's verdict."""
+        """Decide a request by the owner's verdict."""
         charge = self.charges.get(verdict.id)
         if charge is None:
             return []
-        if verdict.code <= VerdictCode.REJECTED and not self.leaving:  # once it leaves, it takes no shares
+        if verdict.code <= VerdictCode.REJECTED and not self.leaving:  # a leaving client accepts no shares
             charge.local_quota.on_verdict(now, sender, charge.sent_at, verdict)
         elif verdict.code == VerdictCode.NOT_OPEN:
             if link is not None:
@@ -270,10 +270,10 @@
         return self._decide_by_share(now, verdict.id, charge, COUNT_NOT_OPEN)
 
     def _correct(self, verdict: Verdict, charge: PendingCharge) -> list[ClientOutput]:
-        """Correct for an admission that came after the request was decided.
+        """Correct the counts after an admission that arrived too late.
 
-        The unit is refunded at the owner if the request was rejected, and returned to the share if the share
-        admitted it.
+        If the request was rejected, the unit is refunded at the owner. If the share admitted it, the unit is
+        returned to the share.
         """
         if verdict.code != VerdictCode.ADMITTED:
             return []
@@ -288,7 +288,7 @@
     # Time.
 
     def _tick(self, now: float) -> list[ClientOutput]:
-        """Repeat charges, decide those that waited long enough, and send heartbeats."""
+        """Repeat charges, decide charges that have timed out, and send heartbeats."""
         outputs: list[ClientOutput] = []
         while self.timers and self.timers[0][0] <= now:
             attempt_id = heappop(self.timers)[1]
@@ -302,9 +302,9 @@
         return outputs
 
     def _on_charge_timeout(self, now: float, attempt_id: int, charge: PendingCharge) -> list[ClientOutput]:
-        """No verdict yet: repeat the charge, then decide by the share.
+        """Handle a missing verdict: repeat the charge, then decide by the share.
 
-        If the share is exhausted, the charge is repeated once more and waits as long again.
+        If the share is exhausted, the charge is repeated once more, with the same timeout again.
         """
         charge.attempts += 1
         link = charge.link
@@ -324,7 +324,7 @@
     # Configuration.
 
     def _set_allowances(self, event: Allowances) -> None:
-        """Adopt the tenants' new allowances; shares stay the same part of them."""
+        """Apply the tenants' new allowances; shares remain the same fraction of them."""
         local_quotas = {}
         for label, (rate, burst) in event.tenants.items():
             window = plan(rate, burst, self.span_s)
@@ -340,7 +340,7 @@
 
 
 def _refund_messages(attempt_id: int, charge: PendingCharge) -> list[ClientOutput]:
-    """The message that refunds a unit at the owner, if there is one."""
+    """Build the message that refunds a unit at the owner, if there is an owner."""
     if charge.link is None:
         return []
     refund = ChargeRefund(id=attempt_id, tenant=charge.local_quota.number)
--- a/gateway/quota/shard_assigner.py
+++ b/gateway/quota/shard_assigner.py
@@ -1,4 +1,4 @@
-"""Assignment of shards to owners by the core's leader, under leases with fencing tokens."""
+"""Assignment of shards to owners by the leader of the core, under leases with fencing tokens."""
 
 from __future__ import annotations
 
@@ -11,18 +11,20 @@
 from gateway.quota.quota_pb2 import LeaseGrant, LeaseRequest, Message, ShardMap
 from gateway.state_machine import LONG_AGO, Address, FencingToken, Send
 
-PRESENT_S = 1.0  # a candidate that requested its lease this lately is present
-STABLE_S = 2.0  # after this long without a gap in its requests, shards are moved to it from other owners
-FORGET_S = 60.0  # a candidate without a lease that hasn't requested one for so long is forgotten
-PUBLISH_INTERVAL_S = 0.2  # between two shard maps, if the first has an owner for each shard
-EARLY_REQUEST_S = 0.1  # how long a request from before the leader had its lease is kept: then it is repeated
-MAX_EARLY_REQUESTS = 16  # such requests kept
-MAX_CACHED_ASSIGNMENTS = 32  # assignments cached, by the set of candidates
-NO_OWNER = 255  # in a published shard map: index of a shard without an owner
+PRESENT_S = 1.0  # a candidate whose last lease request is more recent than this counts as present
+# A candidate that has sent requests without a gap for this long may take over shards of other owners.
+STABLE_S = 2.0
+FORGET_S = 60.0  # a candidate without a lease is removed after this time without a request
+PUBLISH_INTERVAL_S = 0.2  # minimum interval between shard maps, if the first one has an owner for each shard
+# Requests received before the leader had its lease are stored this long; then they are repeated.
+EARLY_REQUEST_S = 0.1
+MAX_EARLY_REQUESTS = 16  # maximum number of such requests
+MAX_CACHED_ASSIGNMENTS = 32  # cached assignments, by set of candidates
+NO_OWNER = 255  # index of a shard without an owner in a published shard map
 
 
 class OwnerCandidate:
-    """A controller that requests shards, as known to the leader. Sets of shards are bitmasks."""
+    """A controller that requests shards, as seen by the leader. Sets of shards are bitmasks."""
 
     __slots__ = (
         "ever_granted",
@@ -39,13 +41,13 @@
     )
 
     def __init__(self, address: Address) -> None:
-        self.incarnation = 0  # of its newest request
-        self.request_sent_at = -1.0  # its newest request, by its own clock
-        self.requested_at = LONG_AGO  # when that came here
-        self.requesting_since = LONG_AGO  # when the first one without a gap since came here
-        self.grant_confirmed_at = LONG_AGO  # when a request last showed that it had the newest grant
+        self.incarnation = 0  # incarnation in its newest request
+        self.request_sent_at = -1.0  # send time of its newest request, by its own clock
+        self.requested_at = LONG_AGO  # when that request was received
+        self.requesting_since = LONG_AGO  # when the first of its requests without a gap was received
+        self.grant_confirmed_at = LONG_AGO  # when a request last confirmed the newest grant
         self.possibly_owned = 0  # shards that it may still own
-        self.lease_expires_at = 0.0  # until when it may
+        self.lease_expires_at = 0.0  # end of the lease for these shards
         self.granted = 0  # shards in the newest grant
         self.last_grant = FencingToken(0, 0)
         self.ever_granted = 0  # shards in any grant
@@ -55,44 +57,44 @@
 
 
 class EarlyRequest(NamedTuple):
-    """A request that came before this process had the leader's lease, and when."""
+    """A request received before this process had the leader's lease."""
 
     came_at: float
     request: LeaseRequest
 
 
 class ShardAssigner:
-    """State machine at the leader.
+    """State machine of the leader that assigns shards.
 
-    Needs a `Tick` each 0.1 s, and `LeadershipChange` and `LiveControllers` whenever these change.
+    It must receive a `Tick` every 0.1 s, and `LeadershipChange` and `LiveControllers` on every change.
 
-    A shard is granted to another owner only when its owner has confirmed that it gave the shard up, when that
-    owner's process has restarted, or when its lease has surely expired. A new leader knows none of its
-    predecessor's leases: it confirms what owners report, and grants the rest once those leases have expired
-    or all controllers that could have one have sent a request.
+    A shard is granted to another owner only after its owner has confirmed giving it up, after that owner's
+    process has restarted, or after its lease has expired. A new leader doesn't know its predecessor's leases:
+    it confirms the shards that owners report, and grants the rest once those leases have expired or all
+    controllers that could have a lease have sent a request.
     """
 
     def __init__(self) -> None:
         self.term = 0
         self.has_leader_lease = False
         self.term_began_at = 0.0
-        self.former_leases_known = False  # no unreported lease of an earlier leader may still run
-        self.number = 0  # of the newest grant or shard map, in this term
+        self.former_leases_known = False  # no unreported lease of an earlier leader can still be valid
+        self.number = 0  # of the newest grant or shard map in this term
         self.live: frozenset[Address] = frozenset()
         self.members: frozenset[Address] = frozenset()
         self.candidates: dict[Address, OwnerCandidate] = {}
         self.owner_of_shard: list[Address | None] = [None] * SHARDS
-        self.idle = 0  # shards not owned since `idle_since`, but by an owner that was told so
+        self.idle = 0  # shards not owned since `idle_since`, except by an owner that was informed of this
         self.idle_since = 0.0
-        self.early_requests: dict[Address, EarlyRequest] = {}  # of this term
-        self.is_changed = False  # since the newest shard map
-        self.has_unowned = True  # in the newest shard map
+        self.early_requests: dict[Address, EarlyRequest] = {}  # received in this term
+        self.is_changed = False  # whether an owner has changed since the newest shard map
+        self.has_unowned = True  # whether a shard has no owner in the newest shard map
         self.published_at = 0.0
         self.published_map = b""
         self.assignments: dict[frozenset[Address], dict[Address, int]] = {}
 
     def handle(self, now: float, event: AssignerEvent) -> list[AssignerOutput]:
-        """Process one event at steady time `now` (seconds); returns messages, and a new shard map if any."""
+        """Process one event at monotonic time `now` (seconds); returns messages and shard maps."""
         match event:
             case Received(sender, message):
                 if message.WhichOneof("kind") == "lease_request":
@@ -111,7 +113,7 @@
         return []
 
     def shard_map(self) -> bytes:
-        """The newest shard map of this leader in serialized form; empty before the first."""
+        """The newest serialized shard map of this leader; empty if there is none yet."""
         return self.published_map
 
     def _may_grant(self) -> bool:
@@ -119,7 +121,7 @@
         return self.term > 0 and self.has_leader_lease
 
     def _begin_term(self, now: float, term: int, idle_since: float | None) -> None:
-        """Begin to lead, or stop (term 0): what was known of another term is discarded."""
+        """Start or end (term 0) leading; state of other terms is discarded."""
         self.term = term
         self.term_began_at = now
         self.former_leases_known = False
@@ -144,20 +146,20 @@
         return []
 
     def _on_lease_request(self, now: float, sender: Address, request: LeaseRequest) -> list[AssignerOutput]:
-        """Process an owner's request: note what it may own, and grant its lease."""
+        """Handle an owner's request: record the shards that it may own, and grant its lease."""
         candidate = self._update_candidate(now, sender, request)
         if candidate is None:
             return []
-        self.idle &= ~(request.shards & ~candidate.ever_granted)  # owned, whoever granted them
-        was_known = self.former_leases_known
+        self.idle &= ~(request.shards & ~candidate.ever_granted)  # owned by the sender, whoever granted them
+        were_known = self.former_leases_known
         self._check_former_leases(now)
         outputs: list[AssignerOutput] = [self._grant(now, sender, candidate)]
-        if self.former_leases_known and not was_known:
+        if self.former_leases_known and not were_known:
             outputs += self._grant_free_shards(now)
         return outputs + self._publish(now)
 
     def _update_candidate(self, now: float, sender: Address, request: LeaseRequest) -> OwnerCandidate | None:
-        """Note what an owner's request says of it; None if it gets no answer."""
+        """Update a candidate from its request; returns None if the request gets no response."""
         candidate = self.candidates.get(sender)
         if candidate is None:
             if sender not in self.live and sender not in self.members:
@@ -186,14 +188,14 @@
         return candidate
 
     def _check_former_leases(self, now: float) -> None:
-        """Find out whether unreported leases of an earlier leader may still run."""
+        """Determine whether unreported leases of an earlier leader may still be valid."""
         if not self.former_leases_known:
-            all_heard = bool(self.members) and all(a in self.candidates for a in self.members)
+            all_reported = bool(self.members) and all(a in self.candidates for a in self.members)
             expire_at = self.term_began_at + LEASE_S + 2 * LEASE_MARGIN_S
-            self.former_leases_known = all_heard or now >= expire_at
+            self.former_leases_known = all_reported or now >= expire_at
 
     def _grant(self, now: float, address: Address, candidate: OwnerCandidate) -> Send:
-        """Grant a candidate its shards, under a lease that runs from when it sent its request."""
+        """Grant a candidate its shards under a lease that starts at the send time of its request."""
         granted = self._shards_to_grant(now, address, candidate)
         self.number += 1
         candidate.granted = granted
@@ -216,7 +218,7 @@
         return Send(address, Message(lease_grant=grant))
 
     def _set_owner(self, shards: int, address: Address) -> None:
-        """Note the owner of these shards; one that another candidate had owned isn't idle any more."""
+        """Record the owner of these shards; a shard taken over from another candidate is no longer idle."""
         for shard in range(SHARDS):
             if shards >> shard & 1 and self.owner_of_shard[shard] != address:
                 if self.owner_of_shard[shard] is not None:
@@ -225,10 +227,10 @@
                 self.is_changed = True
 
     def _shards_to_grant(self, now: float, address: Address, candidate: OwnerCandidate) -> int:
-        """The shards that a candidate shall own now.
+        """The shards that a candidate should own now.
 
-        These are free ones assigned to it, and those that it owns already and no stable candidate should get
-        instead.
+        These are free shards assigned to it, and shards that it already owns unless a stable candidate should
+        take them over.
         """
         taken = 0
         present: list[Address] = []
@@ -244,12 +246,12 @@
             return candidate.possibly_owned & ~taken
         if address not in present:
             return 0
-        kept = candidate.possibly_owned & self._assignment(stable)[address]
+        retained = candidate.possibly_owned & self._assignment(stable)[address]
         new = ~candidate.possibly_owned & self._assignment(present)[address]
-        return (kept | new) & ALL_SHARDS & ~taken
+        return (retained | new) & ALL_SHARDS & ~taken
 
     def _is_present(self, now: float, address: Address, candidate: OwnerCandidate) -> bool:
-        """Whether a candidate may be granted shards: it is live, and its grants reach it."""
+        """Whether a candidate may be granted shards: it is live, and its grants arrive."""
         return (
             address in self.live
             and now < candidate.requested_at + PRESENT_S
@@ -257,7 +259,7 @@
         )
 
     def _assignment(self, addresses: list[Address]) -> dict[Address, int]:
-        """Rendezvous hashing: each shard goes to the address that ranks highest for it."""
+        """Rendezvous hashing: each shard is assigned to the address with the highest rank for it."""
         key = frozenset(addresses)
         assignment = self.assignments.get(key)
         if assignment is None:
@@ -290,7 +292,7 @@
         return outputs + self._publish(now)
 
     def _grant_free_shards(self, now: float) -> list[AssignerOutput]:
-        """Grant free shards to the candidates they are assigned to, without waiting for the next request."""
+        """Grant free shards to their assigned candidates immediately instead of with their next request."""
         return [
             self._grant(now, address, candidate)
             for address, candidate in self.candidates.items()
@@ -301,10 +303,10 @@
     # The shard map.
 
     def _publish(self, now: float) -> list[AssignerOutput]:
-        """Publish a changed shard map.
+        """Publish the shard map if it has changed.
 
-        Not too often, unless the last one had shards without an owner, and not before an earlier leader's
-        leases are accounted for.
+        It is rate limited unless shards had no owner in the last map, and it is not published before the
+        leases of an earlier leader are accounted for.
         """
         if not self.is_changed or not self.former_leases_known:
             return []
--- a/gateway/quota/shard_owner.py
+++ b/gateway/quota/shard_owner.py
@@ -1,4 +1,4 @@
-"""The shard owner at a controller: counts charges, grants shares, and renews its own lease."""
+"""The shard owner at a controller, which counts charges, grants shares and renews its own lease."""
 
 from __future__ import annotations
 
@@ -24,20 +24,21 @@
 from gateway.quota.window import Window, plan
 from gateway.state_machine import Address, Send
 
-SHARE_NUMBER_STEP = 97  # between the first numbers of shares of two counts
+SHARE_NUMBER_STEP = 97  # distance between the first share numbers of two counts
 
 
 class TenantWindow(NamedTuple):
-    """A tenant with a limit: its label and its windows."""
+    """The label and the windows of a tenant with a limit."""
 
     label: str
     window: Window
 
 
 class ShardOwner:
-    """State machine that counts the tenants of the shards it owns under a lease. Needs a `Tick` each 0.1 s.
+    """State machine that counts the tenants of the shards it owns under a lease.
 
-    `span_s` is the window of the rule QUOTA (quota-window-s); `rng` draws the incarnation.
+    It must receive a `Tick` every 0.1 s. `span_s` is the window of the rule QUOTA (quota-window-s), and `rng`
+    is used to draw the incarnation.
     """
 
     def __init__(self, span_s: float, rng: random.Random) -> None:
@@ -51,7 +52,7 @@
         self.view_audit = ViewAudit()
 
     def handle(self, now: float, event: OwnerEvent) -> list[OwnerOutput]:
-        """Process one event at steady time `now` (seconds); returns the messages to send."""
+        """Process one event at monotonic time `now` (seconds); returns the messages to send."""
         match event:
             case Received(sender, message):
                 return self._receive(now, sender, message)
@@ -68,7 +69,8 @@
     def counter_states(self, now: float) -> dict[str, CounterState]:
         """The open counts by label.
 
-        This changes no state: windows begin with a charge, and of one that hasn't begun all remains.
+        This changes no state. Windows start with a charge, so in a window that has not started yet, the
+        complete allowance remains.
         """
         states: dict[str, CounterState] = {}
         if now >= self.lease.expires_at:
@@ -96,7 +98,7 @@
     # Charges.
 
     def _on_charge(self, now: float, sender: Address, charge: Charge) -> list[OwnerOutput]:
-        """Charge one unit and answer with a verdict; a late charge of an earlier incarnation is dropped."""
+        """Charge one unit and respond with a verdict; late charges of an earlier incarnation are dropped."""
         if self.registry.has_ended(sender, charge.incarnation):
             return []
         client = self.registry.on_message(now, sender, charge.incarnation)
@@ -125,7 +127,7 @@
         verdict: Verdict,
         may_lease: bool,
     ) -> None:
-        """Charge an open count and fill in the verdict; a share goes with it only if `may_lease`."""
+        """Charge an open count and fill in the verdict; only if `may_lease`, it may grant a share."""
         self._refresh(now, charge.tenant, counter)
         share = counter.shares.by_client.get(sender) or counter.shares.share_of(sender, charge.spent)
         if charge.spent != share.spent:
@@ -145,11 +147,11 @@
             verdict.share_size = share.size
 
     def _counter(self, now: float, tenant: int, verdict: Verdict | None = None) -> TenantCounter | None:
-        """A tenant's count, created if its shard is owned; otherwise None, with the reason in the verdict."""
+        """A tenant's count, created if its shard is owned; otherwise the verdict gets the reason."""
         self._expire_lease(now)
         shard = shard_of(tenant)
-        known = self.windows.get(tenant)
-        if known is None or not self.lease.owns(shard):
+        tenant_window = self.windows.get(tenant)
+        if tenant_window is None or not self.lease.owns(shard):
             if verdict is not None:
                 is_owner = self.lease.owns(shard)
                 verdict.code = VerdictCode.UNKNOWN_TENANT if is_owner else VerdictCode.NOT_OWNER
@@ -159,7 +161,7 @@
             self.share_number_seed += 1
             counter = TenantCounter(
                 now,
-                known.window,
+                tenant_window.window,
                 self.lease.last_counted_at[shard],
                 self.share_number_seed * SHARE_NUMBER_STEP,
                 self.lease.began_at[shard],
@@ -168,7 +170,7 @@
         return counter
 
     def _refresh(self, now: float, tenant: int, counter: TenantCounter) -> None:
-        """Bring a count's window and its reserved units up to date."""
+        """Update a count's window and its reserved units."""
         if now >= counter.window_ends_at:
             counter.begin_window(now)
         if counter.reservation_epoch != self.registry.epoch:
@@ -177,7 +179,7 @@
             counter.reservation_epoch = self.registry.epoch
 
     def has_unreported_shares(self, now: float, shard: int) -> bool:
-        """Whether some quota client may have a share of an earlier owner that it has not reported."""
+        """Whether a quota client may have an unreported share from an earlier owner."""
         last_counted_at = self.lease.last_counted_at[shard]
         if now >= last_counted_at + SHARE_S + LEASE_MARGIN_S:
             return False
@@ -194,19 +196,19 @@
     # Quota clients.
 
     def _end_shares(self, client: Address) -> None:
-        """A quota client has restarted: its shares have ended."""
+        """End the shares of a quota client that has restarted."""
         for counter in self.counters.values():
             counter.end_share(client)
 
     def _on_client_heartbeat(
         self, now: float, sender: Address, heartbeat: ClientHeartbeat
     ) -> list[OwnerOutput]:
-        """Process a quota client's heartbeat and answer it; late ones of another incarnation are dropped."""
+        """Handle a client's heartbeat; late ones of a former incarnation are dropped."""
         incarnation = heartbeat.incarnation
         if self.registry.has_ended(sender, incarnation):
             return []
         if heartbeat.leaving and not self.registry.knows(sender, incarnation):
-            return []  # another incarnation may be there by now
+            return []  # another incarnation may be running there by now
         client = self.registry.on_message(now, sender, incarnation, heartbeat.owner_unresponsive)
         if client is None:
             return []
@@ -220,7 +222,7 @@
     def _take_reports(
         self, now: float, sender: Address, client: ClientState, heartbeat: ClientHeartbeat
     ) -> None:
-        """Take a heartbeat's reports of shares, views and clients, and the returned shares if it leaves."""
+        """Apply a heartbeat's reports of shares, views and clients, and a leaving client's shares."""
         self.view_audit.record_views(now, sender, heartbeat.views)
         for report in heartbeat.shares:
             if not report.size:
@@ -238,7 +240,7 @@
             self.registry.note_left(now, sender, client)
 
     def _take_returned_shares(self, now: float, sender: Address, heartbeat: ClientHeartbeat) -> None:
-        """A quota client leaves: count what it admitted by its shares, and end these."""
+        """Count the units that a leaving client admitted by its shares, and end the shares."""
         spent = {report.tenant: report.spent for report in heartbeat.shares}
         for number, counter in self.counters.items():
             self._refresh(now, number, counter)
@@ -247,7 +249,7 @@
     # The lease.
 
     def _tick(self, now: float) -> list[OwnerOutput]:
-        """Check leases and quota clients for expiry; request the lease when it is time."""
+        """Handle the expiry of the lease and of quota clients, and request the lease if a request is due."""
         self._expire_lease(now)
         self.registry.check(now)
         return self.lease.request_if_due(now)
@@ -261,7 +263,7 @@
             self._apply(self.lease.adopt(now, grant))
 
     def _apply(self, change: OwnershipChange | None) -> None:
-        """End the counts of lost shards; those of gained ones start afresh."""
+        """End the counts of lost shards; the counts of gained shards start anew."""
         if change is None:
             return
         self.registry.forget_reports(change.lost | change.gained)
@@ -275,31 +277,31 @@
     # Configuration.
 
     def _set_allowances(self, now: float, event: Allowances) -> None:
-        """Adopt the tenants' new allowances."""
+        """Apply the tenants' new allowances."""
         self.windows = {}
         for label, (rate, burst) in event.tenants.items():
             window = plan(rate, burst, self.span_s)
             if window is not None:
                 self.windows[tenant_number(label)] = TenantWindow(label, window)
         for number, counter in list(self.counters.items()):
-            known = self.windows.get(number)
-            if known is None:
+            tenant_window = self.windows.get(number)
+            if tenant_window is None:
                 del self.counters[number]
-            elif known.window != counter.window:
-                counter.resize(now, known.window)
+            elif tenant_window.window != counter.window:
+                counter.resize(now, tenant_window.window)
 
 
 def _defer_opening_for_share(now: float, sender: Address, charge: Charge, counter: TenantCounter) -> None:
-    """Defer the opening of a count if the charge shows that its sender has a share of an earlier owner."""
+    """Delay the opening of a count if the charge shows that its sender has a share of an earlier owner."""
     if now >= counter.deferred_opens_at or not (charge.had_other_share or charge.share_number):
         return
-    known = counter.shares.by_client.get(sender)
-    if charge.had_other_share or known is None or not known.number:
+    share = counter.shares.by_client.get(sender)
+    if charge.had_other_share or share is None or not share.number:
         counter.defer_opening()
 
 
 def _is_not_open(now: float, counter: TenantCounter) -> bool:
-    """Whether a count isn't open yet, and nothing of the allowance has accrued for one more request."""
+    """Whether a count is not open yet, and not enough of the allowance has accrued for another request."""
     return (
         now < counter.opens_at
         and not counter.has_reported_shares
