--- a/gateway/quota/share_allocator.py
+++ b/gateway/quota/share_allocator.py
@@ -1,7 +1,7 @@
 """The shares of a tenant's allowance that its shard owner leases to quota clients.
 
-A share is what a client may admit by itself while the owner doesn't answer. Sizes of shares are in parts of
-the allowance, of which there are `FULL_SHARE`.
+A client admits requests by its share while the owner doesn't respond. Share sizes are fractions of the
+allowance in units of 1 / `FULL_SHARE`.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from gateway.quota.protocol import FULL_SHARE, LEASE_MARGIN_S, NEVER, SHARE_S
 from gateway.state_machine import Address
 
-SIZE_TOLERANCE = 0.25  # a share is not changed while within this fraction of its target
-YIELDING_TOLERANCE = 0.05  # the same for one above its target, while some client with a target has no share
-MIN_SIZE = 4  # smallest share
-MIN_USAGE = 0.05  # units a window below which a quota client is forgotten
-SHARE_NUMBERS = 1 << 14  # numbers of shares are below this, which keeps messages short
+SIZE_TOLERANCE = 0.25  # a share is not changed while it is within this fraction of its target
+YIELDING_TOLERANCE = 0.05  # the same for a share above its target, while a client with a target has no share
+MIN_SIZE = 4  # size of the smallest share
+MIN_USAGE = 0.05  # units per window below which a quota client is removed
+SHARE_NUMBERS = 1 << 14  # share numbers are smaller than this, which keeps messages short
 
 
 class ClientShare:
-    """What one quota client may admit by itself, as far as the owner can't rule it out.
+    """The units that one quota client may admit by itself, as an upper bound known to the owner.
 
-    `spent` is the number of units that it has reported as admitted by share.
+    `spent` is the number of units that the client has reported as admitted by its share.
     """
 
     __slots__ = (
@@ -38,30 +38,31 @@
     )
 
     def __init__(self, spent: int) -> None:
-        self.size = 0  # leased now
-        self.former_size = 0  # the largest share that it may still use instead
-        self.number = 0  # 0: there is no share
-        self.expires_at = 0.0  # of the lease, with a margin
+        self.size = 0  # current size of the lease
+        self.former_size = 0  # size of the largest earlier share that the client may still be using
+        self.number = 0  # 0 if there is no share
+        self.expires_at = 0.0  # end of the lease, including a margin
         self.spent = spent
-        self.demand = 0  # requests in this window
-        self.usage = 0.0  # their moving average a window
-        self.accrues_from = NEVER  # from when its units accrue in the pool of a count that isn't open
-        self.was_raised = False  # whether this count has raised it
+        self.demand = 0  # requests in the current window
+        self.usage = 0.0  # moving average of the requests per window
+        # When its units start to accrue in the pool of a count that is not open yet.
+        self.accrues_from = NEVER
+        self.was_raised = False  # whether this count has increased it
 
     @property
     def outstanding(self) -> int:
-        """The size by which the quota client may admit."""
+        """The largest size that the quota client may be using."""
         return self.size if self.size > self.former_size else self.former_size
 
     def end(self) -> None:
-        """The quota client may admit nothing by its share any more."""
+        """End the share: the quota client may no longer admit requests by it."""
         self.size = 0
         self.former_size = 0
         self.number = 0
 
 
 class ShareAllocator:
-    """The shares of all quota clients in one tenant's allowance, and their targets by recent usage."""
+    """The shares of one tenant's allowance by client, and their target sizes according to recent usage."""
 
     __slots__ = (
         "by_client",
@@ -77,17 +78,17 @@
     def __init__(self, first_number: int) -> None:
         self.by_client: dict[Address, ClientShare] = {}
         self.target_sizes: dict[Address, int] = {}
-        self.has_waiting_client = False  # whether some quota client has a target and no share
-        self.outstanding = 0  # sum of all shares
-        self.has_unreported = False  # whether there may be others that aren't reported
-        # An earlier owner's shares, as each client first reported its own, and their sum: the shares of
-        # other clients are within the rest.
+        self.has_waiting_client = False  # whether a quota client has a target but no share
+        self.outstanding = 0  # sum of the outstanding sizes of all shares
+        self.has_unreported = False  # whether there may be unreported shares
+        # Shares granted by an earlier owner, as first reported by each client, and their sum. The shares of
+        # all other clients are at most the remainder.
         self.claimed_by_client: dict[Address, int] = {}
         self.claimed = 0
         self.next_number = first_number % SHARE_NUMBERS
 
     def share_of(self, client: Address, spent: int) -> ClientShare:
-        """The state of a quota client's share, created if there is none."""
+        """The state of a quota client's share, which is created if necessary."""
         share = self.by_client.get(client)
         if share is None:
             share = ClientShare(spent)
@@ -103,7 +104,7 @@
         expires_in_s: float,
         allowance: float,
     ) -> None:
-        """Take a client's report of a share that an earlier owner has granted."""
+        """Apply a client's report of a share that was granted by an earlier owner."""
         previous = share.outstanding
         if client not in self.claimed_by_client and not share.was_raised:
             self.claimed_by_client[client] = size
@@ -111,26 +112,27 @@
         if share.number == 0:
             share.size = size
             share.number = self._new_number()
-            # Until more is seen of its usage:
+            # An initial value until more of its usage has been observed:
             share.usage = max(share.usage, size / FULL_SHARE * allowance)
         share.former_size = max(share.former_size, size)
         share.expires_at = max(share.expires_at, now + expires_in_s + LEASE_MARGIN_S)
         self.outstanding += share.outstanding - previous
 
     def renew(self, now: float, client: Address, share: ClientShare, confirmed_number: int) -> bool:
-        """Renew the lease of a client's share, and move the share towards its target.
+        """Renew the lease of a client's share, and adjust its size towards the target.
 
         Args:
             now: Seconds of the owner's clock.
             client: The client's address.
             share: Its share.
-            confirmed_number: The newest share that the client has of this owner; 0: none.
+            confirmed_number: Number of the newest share that the client has received from this owner; 0:
+            none.
 
         Returns:
-            Whether the client must be sent another share.
+            Whether another share must be sent to the client.
         """
         previous = share.outstanding
-        if confirmed_number and not share.number:  # it admits by a share that isn't known here
+        if confirmed_number and not share.number:  # the client uses a share that is unknown here
             share.number = self._new_number()
         if confirmed_number == share.number:
             share.former_size = 0
@@ -144,7 +146,7 @@
         return share.number not in (0, confirmed_number)
 
     def _change_size(self, share: ClientShare, target: int) -> None:
-        """Lower a share at once, or raise it as far as the other shares leave room."""
+        """Reduce a share immediately, or increase it as far as the other shares allow."""
         previous = share.outstanding
         if target > previous:
             most = self.claimed if self.has_unreported else FULL_SHARE
@@ -158,12 +160,12 @@
         self.outstanding += share.outstanding - previous
 
     def _new_number(self) -> int:
-        """A number for a new share, never 0."""
+        """Return a number for a new share, never 0."""
         self.next_number = self.next_number % (SHARE_NUMBERS - 1) + 1
         return self.next_number
 
     def update_targets(self, now: float) -> None:
-        """At the start of a window, compute targets from recent usage, and end expired shares."""
+        """Compute targets from recent usage and end expired shares; called at the start of a window."""
         total = 0.0
         for client, share in list(self.by_client.items()):
             share.usage += SMOOTHING * (share.demand - share.usage)
@@ -182,10 +184,10 @@
         )
 
     def end(self, client: Address) -> bool:
-        """A quota client's process has ended: it has no share any more.
+        """End a client's share because its process has ended.
 
         Returns:
-            Whether anything was known of it.
+            Whether the client had any state here.
         """
         share = self.by_client.get(client)
         if share is None:
@@ -197,15 +199,15 @@
         share.accrues_from = NEVER
         return True
 
-    # Sizes that a count needs.
+    # Sizes needed by a count.
 
     def accrued_size(self, now: float, window_s: float) -> float:
-        """What has accrued of the shares that accrue evenly over a window, each from its own time on."""
+        """The accrued part of all shares; each accrues evenly over a window from its own start time."""
         accruing = (share for share in self.by_client.values() if share.accrues_from < now)
         return sum(share.size * min(1.0, (now - share.accrues_from) / window_s) for share in accruing)
 
     def accruing_size(self, before: float) -> int:
-        """The sum of the shares whose units begin to accrue before a time."""
+        """The sum of the shares whose units start to accrue before a time."""
         return sum(share.size for share in self.by_client.values() if share.accrues_from < before)
 
     def reserved_size(
@@ -216,12 +218,13 @@
         window_ends_at: float,
         window_s: float,
     ) -> float:
-        """What quota clients may admit by their shares in a window, out of the owner's sight.
+        """The size that quota clients may use in a window without the owner's knowledge.
 
         Args:
-            has_unreported: Some client may have a share of an earlier owner that it hasn't reported. What
-                clients have reported, whatever became of it since, is none of these.
-            unresponsive: The unresponsive clients, and when each was last heard.
+            has_unreported: Whether a client may have an unreported share from an earlier owner. Shares that
+            were
+                reported are not among these, whatever has happened to them since.
+            unresponsive: The unresponsive clients, and the time of the last contact with each.
             window_began_at: Start of the window.
             window_ends_at: End of the window.
             window_s: Length of the window.
--- a/gateway/quota/view_audit.py
+++ b/gateway/quota/view_audit.py
@@ -1,4 +1,4 @@
-"""Audit of quota clients' views: whether they agree with what their shard owner has recently replied."""
+"""Audit of the quota clients' views of a count against the shard owner's recent replies."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from gateway.quota.tenant_counter import CounterState
 from gateway.state_machine import Address
 
-SLOT_S = 0.1  # length of a slot, for which the least and the greatest replied value are kept
-MAX_SLOTS = 128  # slots kept for each count: at least 12.8 s of verdicts
-MAX_TRANSIT_S = 0.5  # that a verdict and the report of its view may have been in transit together
-VIEW_RETENTION_S = 30.0  # a view of this age is discarded
+SLOT_S = 0.1  # the smallest and greatest replied value are stored for each slot of this length
+MAX_SLOTS = 128  # slots stored for each count: at least 12.8 s of verdicts
+MAX_TRANSIT_S = 0.5  # maximum combined transit time of a verdict and of the report of its view
+VIEW_RETENTION_S = 30.0  # older views are discarded
 
 
 class RepliedRange:
-    """The least and the greatest value replied in one slot."""
+    """The smallest and the greatest value replied in one slot."""
 
     __slots__ = ("began_at", "greatest", "least")
 
@@ -29,10 +29,10 @@
 
 
 class RecordedView(NamedTuple):
-    """A quota client's view: units remaining, and when its verdict came by this owner's clock.
+    """A quota client's view: the remaining units, and the owner's clock time at which its verdict arrived.
 
-    `outside_by` is by how many units it lies outside all that was replied at that time; None if that was
-    before this owner's first reply.
+    `outside_by` is the number of units by which it lies outside all values replied around that time, or None
+    if that was before this owner's first reply.
     """
 
     remaining: int
@@ -41,7 +41,7 @@
 
 
 class ComparedView(NamedTuple):
-    """A quota client's view now: its age, its difference from the remaining units, and `outside_by`."""
+    """A quota client's current view: its age, its difference from the remaining units, and `outside_by`."""
 
     node: Address
     remaining: int
@@ -51,7 +51,7 @@
 
 
 class CounterComparison(NamedTuple):
-    """A tenant counted here: allowance, units remaining, units reserved, and the views of its clients."""
+    """A tenant's count: allowance, units remaining, units reserved, and the views of its clients."""
 
     tenant: str
     allowance: float
@@ -63,19 +63,20 @@
 class ViewAudit:
     """Records a shard owner's verdicts and its quota clients' views.
 
-    A view is compared with what was replied when its verdict came, so that age alone is no disagreement.
+    A view is compared with the replies at the time of its verdict, so that a view that is merely old does not
+    count as a disagreement.
     """
 
     def __init__(self) -> None:
         self.replied: dict[int, deque[RepliedRange]] = {}  # by tenant
         self.views: dict[int, dict[Address, RecordedView]] = {}  # by tenant
-        # Counters that only grow.
+        # Counters that never decrease.
         self.gained_shards = 0
         self.lost_shards = 0
         self.refunded = 0  # units
 
     def record_reply(self, now: float, tenant: int, remaining: int) -> None:
-        """Record the remaining units in a verdict that is sent."""
+        """Record the remaining units reported in a verdict."""
         slots = self.replied.get(tenant)
         if slots is None:
             slots = deque(maxlen=MAX_SLOTS)
@@ -90,7 +91,7 @@
             slot.greatest = remaining
 
     def record_views(self, now: float, client: Address, views: Iterable[CounterView]) -> None:
-        """Take the views that a quota client reports."""
+        """Record the views reported by a quota client."""
         for view in views:
             known_at = now - view.age_ms / 1000
             outside_by = self._outside_by(known_at, view.tenant, view.remaining)
@@ -98,7 +99,7 @@
             self.views.setdefault(view.tenant, {})[client] = recorded
 
     def _outside_by(self, known_at: float, tenant: int, remaining: int) -> int | None:
-        """By how many units a view lies outside all that was replied by then, and not long before."""
+        """The number of units by which a view lies outside the values replied shortly before `known_at`."""
         before = [slot for slot in self.replied.get(tenant, ()) if slot.began_at <= known_at]
         if not before:
             return None
@@ -109,7 +110,7 @@
         return max(0, below, above)
 
     def on_ownership_change(self, lost: int, gained: int) -> None:
-        """Shards (bitmasks) were lost or gained: what is known of their tenants is of another count."""
+        """Discard replies and views of lost and gained shards (bitmasks): they belong to another count."""
         self.lost_shards += lost.bit_count()
         self.gained_shards += gained.bit_count()
         changed = lost | gained
@@ -118,12 +119,12 @@
                 del by_tenant[tenant]
 
     def compare(self, now: float, states: Mapping[str, CounterState]) -> list[CounterComparison]:
-        """Compare the views of all tenants in `states` (of `ShardOwner.counter_states`), by label."""
+        """Compare the views of all tenants in `states` (from `ShardOwner.counter_states`), by label."""
         comparisons = []
         for label, state in sorted(states.items()):
-            known = self.views.get(tenant_number(label), {})
-            for client in [c for c, v in known.items() if now >= v.known_at + VIEW_RETENTION_S]:
-                del known[client]
+            client_views = self.views.get(tenant_number(label), {})
+            for client in [c for c, v in client_views.items() if now >= v.known_at + VIEW_RETENTION_S]:
+                del client_views[client]
             views = [
                 ComparedView(
                     client,
@@ -132,7 +133,7 @@
                     abs(view.remaining - int(state.remaining)),
                     view.outside_by,
                 )
-                for client, view in sorted(known.items())
+                for client, view in sorted(client_views.items())
             ]
             comparisons.append(
                 CounterComparison(label, state.allowance, state.remaining, state.reserved, views)
--- a/gateway/quota/window.py
+++ b/gateway/quota/window.py
@@ -5,23 +5,24 @@
 import math
 from typing import NamedTuple
 
-MIN_WINDOW_S = 0.5  # shortest window
-# Of the rate that a tenant without a burst gets in the long run: the rest is for shares.
+MIN_WINDOW_S = 0.5
+# Share of the rate that a tenant without a burst gets in the long run; the rest is a margin for local shares.
 STEADY_RATE_FRACTION = 0.96
 
 
 class Window(NamedTuple):
-    """Fixed windows of `length_s` with `allowance` units each."""
+    """Fixed windows of `length_s` seconds with `allowance` units each."""
 
     length_s: float
     allowance: float
 
 
 def plan(rate: float, burst: float, span_s: float) -> Window | None:
-    """The windows that allow `rate` a second in the long run, and `rate` x span + `burst` in any span.
+    """Choose windows that allow `rate` per second in the long run, and `rate` x span + `burst` in any span.
 
-    With a burst of `rate` x the span's n-th part they are burst / rate long and allow the burst. They are at
-    least half a second long and allow at least one unit, which the excess and slack of the rule QUOTA cover.
+    If the burst is one n-th of `rate` x span, the windows are burst / rate long and allow the burst. They are
+    at least half a second long and allow at least one unit; the tolerance of the rule QUOTA covers both
+    minimums.
 
     Returns:
         None if there is no limit.
--- a/gateway/state_machine.py
+++ b/gateway/state_machine.py
@@ -11,13 +11,13 @@
 
 
 LONG_AGO = -1e9
-"""Before any time of a process's monotonic clock, in seconds."""
+"""A time before any reading of a process's monotonic clock, in seconds."""
 
 
 class FencingToken(NamedTuple):
-    """Orders what successive leaders publish and grant: by term, and within a term by number.
+    """Orders what successive leaders publish and grant: by term, then by number within the term.
 
-    A configuration has term 0 and its version as number.
+    A configuration has term 0, and its version as the number.
     """
 
     term: int
--- a/tests/gateway/cli/test_operator_commands.py
+++ b/tests/gateway/cli/test_operator_commands.py
@@ -17,7 +17,7 @@
 from gateway.programs import status_report
 from gateway.programs.paths import CONFIG
 from gateway.runtime.http_call import HttpCall
-from tests.gateway.consensus.consensus_cluster import ConsensusCluster, finish
+from tests.gateway.consensus.consensus_cluster import ConsensusCluster, check_progress
 
 A, B, C = "10.1.0.1:8407", "10.2.0.2:8407", "10.3.0.3:8407"
 OK = Answer(200, "", b'{"generation":7}')
@@ -118,7 +118,7 @@
 
 def test_what_a_core_bears_right_now() -> None:
     core = ConsensusCluster(5, 1, 2)
-    finish(core, 5.0)
+    check_progress(core, 5.0)
 
     def told() -> tuple[int | None, bool]:
         answers = [status_report.core(n.machine, core.now) for n in core.up()]
@@ -154,7 +154,7 @@
 
 def test_core_and_backends_are_shown(snapshot: SnapshotAssertion) -> None:
     core = ConsensusCluster(3, 1)
-    finish(core, 5.0)
+    check_progress(core, 5.0)
     leader = core.leader()
     assert leader is not None
     answers = [status_report.core(n.machine, core.now) for n in core.up()]
--- a/tests/gateway/consensus/catch_up.py
+++ b/tests/gateway/consensus/catch_up.py
@@ -1,6 +1,6 @@
-"""How long and with how many bytes one that was away catches up, after 0, 500 and 5,000 changes.
+"""Measures how quickly, and with how many bytes, a replica catches up after 0, 500 and 5,000 missed changes.
 
-python -m tests.gateway.consensus.catch_up
+Run with `python -m tests.gateway.consensus.catch_up`.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from gateway.consensus import consensus_pb2 as pb
 from gateway.consensus.store import Store
 from gateway.state_machine import Send
-from tests.gateway.consensus.consensus_cluster import ConsensusCluster, Node, finish
+from tests.gateway.consensus.consensus_cluster import ConsensusCluster, Node, check_progress
 from tests.gateway.consensus.test_storage import record
 from tests.gateway.membership.test_change_log import SOURCE, TICK_S, FollowerNetwork
 
 CHANGES = (0, 500, 5000)
 SEEDS = 5
 VALUE_BYTES = 400_000
-WAYS = {
+SCENARIOS = {
     "cut off": "cut off",
     "killed": "killed",
     "wiped": "wiped",
@@ -28,28 +28,29 @@
 }
 
 
-class Counted(ConsensusCluster):
-    """Counts the whole entries that go to one node."""
+class EntryCounter(ConsensusCluster):
+    """Counts the entries with a value that are sent to one node."""
 
-    to, whole = "", 0
+    to, full_entries = "", 0
 
     def _send(self, node: Node, output: Send) -> None:
-        note = output.message
-        self.whole += output.to == self.to and note.kind == pb.APPEND_ENTRIES and not note.base_index
+        message = output.message
+        is_full = message.kind == pb.APPEND_ENTRIES and not message.base_index
+        self.full_entries += output.to == self.to and is_full
         super()._send(node, output)
 
 
-def member(how: str, changes: int, seed: int) -> tuple[float, int]:
-    """Seconds until a member that is back knows the newest value, and whole entries sent to it."""
-    core = Counted(3, seed)
+def member(scenario: str, changes: int, seed: int) -> tuple[float, int]:
+    """Seconds until a returning member holds the newest value, and the entries with a value sent to it."""
+    core = EntryCounter(3, seed)
     core.delay_s = (0.001, 0.003)
-    finish(core, 5.0)
+    check_progress(core, 5.0)
     leader = core.leader()
     away = next(n for n in core.up() if n is not leader)
-    if how in ("cut off", "lossy"):
-        core.cut = {(a, b) for a in core.nodes for b in core.nodes if away.address in (a, b)}
+    if scenario in ("cut off", "lossy"):
+        core.blocked = {(a, b) for a in core.nodes for b in core.nodes if away.address in (a, b)}
     else:
-        core.kill(away.address, wipe=how == "wiped")
+        core.kill(away.address, wipe=scenario == "wiped")
     for _ in range(changes):
         core.run(2.0, lambda: core.leader() is not None)
         leader = core.leader()
@@ -57,18 +58,18 @@
         core.run(2.0, lambda token=token: token in core.outcomes)
     core.run(core.rng.uniform(0.5, 1.9))
     newest = max(n.machine.committed_version for n in core.up())
-    core.cut.clear()
-    if how == "lossy":
+    core.blocked.clear()
+    if scenario == "lossy":
         core.loss, core.delay_s = 0.1, (0.001, 0.05)
     if away.machine is None:
         core.start(away.address)
     core.to, began = away.address, core.now
-    assert core.run(30.0, lambda: away.heard >= newest)
-    return core.now - began, core.whole
+    assert core.run(30.0, lambda: away.committed_version >= newest)
+    return core.now - began, core.full_entries
 
 
 def follower(again: bool, changes: int, seed: int) -> tuple[float, int]:
-    """Seconds until a follower of a log has all of it, and bytes both ways; `again`: the log begins anew."""
+    """Seconds and bytes until a follower has caught up with a log; `again`: the log was restarted."""
     net = FollowerNetwork(seed)
     net.loss, net.delay = 0.0, 0.005
     (address, mirror), *_ = net.mirrors.items()
@@ -85,7 +86,7 @@
     for _ in range(100):
         net.step()
     if again:
-        net.begin()
+        net.make_node()
         while net.unheard:
             net.step()
     mirror.away, net.bytes, began = 0, 0, net.now
@@ -96,17 +97,17 @@
 
 
 def disk(changes: int) -> int:
-    """The most bytes that a member's folder held while it saved so many entries."""
+    """Maximum size in bytes of a member's folder while it saves this many entries."""
     most, sync = 0, os.fsync
     with tempfile.TemporaryDirectory() as folder:
         store = Store(folder)
 
-        def seen(descriptor: int) -> None:
+        def measure(descriptor: int) -> None:
             nonlocal most
             most = max(most, sum(entry.stat().st_size for entry in os.scandir(folder)))
             sync(descriptor)
 
-        os.fsync = seen
+        os.fsync = measure
         try:
             for _ in range(changes):
                 store.save(record(1, VALUE_BYTES))
@@ -118,16 +119,16 @@
 def table() -> Iterator[str]:
     yield "| who was away | " + " | ".join(f"{n:,} changes" for n in CHANGES) + " |"
     yield "| --- |" + " --- |" * len(CHANGES)
-    for how, words in WAYS.items():
+    for scenario, description in SCENARIOS.items():
         cells = []
         for changes in CHANGES:
-            found = [member(how, changes, seed) for seed in range(SEEDS)]
-            times, whole = zip(*found, strict=True)
+            found = [member(scenario, changes, seed) for seed in range(SEEDS)]
+            times, full_entries = zip(*found, strict=True)
             cells.append(
                 f"{statistics.median(times):.2f} s (worst {max(times):.2f}), "
-                f"{max(whole)} whole entries at most"
+                f"{max(full_entries)} full entries at most"
             )
-        yield f"| member, {words} | " + " | ".join(cells) + " |"
+        yield f"| member, {description} | " + " | ".join(cells) + " |"
     for again in (False, True):
         cells = []
         for changes in CHANGES:
--- a/tests/gateway/consensus/consensus_cluster.py
+++ b/tests/gateway/consensus/consensus_cluster.py
@@ -1,4 +1,4 @@
-"""A core in memory: agreements, their disks and the ways between them, under chance or on command."""
+"""A simulated consensus cluster: nodes, their disks and network links, with random or scripted faults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class InvariantViolation(AssertionError):
-    """A promise of the agreement was broken."""
+    """A safety or liveness property of consensus was violated."""
 
 
 class Node:
@@ -27,16 +27,16 @@
 
     def __init__(self, address: str) -> None:
         self.address, self.machine, self.incarnation = address, None, 0
-        self.files: PersistentState | None = None  # what a start finds
-        self.stored: PersistentState | None = None  # what is synced, and so there after a loss of power too
-        self.heard = 0  # newest version put out in this life
+        self.written: PersistentState | None = None  # loaded at the next start of the process
+        self.synced: PersistentState | None = None  # synced, so it survives a power loss too
+        self.committed_version = 0  # newest version reported as committed in this incarnation
         self.disk_s = (0.002, 0.01)
         self.disk_fails = False
-        self.frozen = 0.0  # until then its process stands still
+        self.frozen_until = 0.0  # the process does not run before this time
 
 
 class ConsensusCluster:
-    """Several nodes. Every output is checked; `done` is by version, `committed` too."""
+    """Simulated nodes whose outputs are checked; `acknowledged` and `committed` map versions to values."""
 
     def __init__(
         self,
@@ -49,19 +49,20 @@
         self.tuning = tuning or Tuning()
         self.rng, self.kind, self.tolerance = random.Random(seed), kind, tolerance
         self.now, self.order, self.events = 100.0, 0, []
-        self.loss = self.double = 0.0
+        self.loss = self.duplication = 0.0
         self.delay_s = (0.001, 0.02)
-        self.cut: set[tuple[str, str]] = set()
+        self.blocked: set[tuple[str, str]] = set()
         self.committed: dict[int, bytes] = {}
-        self.done: dict[int, bytes] = {}
-        self.done_at: dict[int, float] = {}
-        self.asked: dict[int, tuple[bytes, int]] = {}
+        self.acknowledged: dict[int, bytes] = {}
+        self.acknowledged_at: dict[int, float] = {}
+        self.proposals: dict[int, tuple[bytes, int]] = {}
         self.outcomes: dict[int, str] = {}
-        self.led: dict[tuple[str, int], float] = {}  # processes' lives, and when each was last sure to lead
-        self.lost: dict[str, float] = {}  # disks that won't come back, and since when
-        self.unsynced_is_lost = False  # with every loss of power, not only by chance
-        self.early = False  # planted fault: a write is told before it is on disk
-        self.log: list[str] | None = None  # outputs, if asked for
+        # By process incarnation: when it last held the leader lease.
+        self.lease_held_at: dict[tuple[str, int], float] = {}
+        self.lost_disks: dict[str, float] = {}  # permanently lost disks, and when they were lost
+        self.unsynced_is_lost = False  # a power loss always discards unsynced data, not only at random
+        self.acknowledges_early = False  # injected bug: a write is reported as durable before it is on disk
+        self.log: list[str] | None = None  # outputs, if they are recorded
         self.log_from = 0.0
         self.nodes: dict[str, Node] = {}
         self.seeds = [f"10.0.0.{i + 1}:1" for i in range(count)]
@@ -73,7 +74,7 @@
         heapq.heappush(self.events, (self.now + delay, self.order, act))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> bool:
-        """Let time pass; True as soon as `until` holds."""
+        """Advance the simulation; returns True as soon as `until` holds."""
         end = self.now + seconds
         while self.events and self.events[0][0] <= end:
             self.now, _, act = heapq.heappop(self.events)
@@ -89,10 +90,10 @@
 
     def start(self, address: str, fresh: bool = False) -> None:
         node = self.nodes[address]
-        node.incarnation, node.heard = node.incarnation + 1, 0
+        node.incarnation, node.committed_version = node.incarnation + 1, 0
         node.machine = self.kind(
             RaftConfig(address, tuple(self.seeds), fresh, self.tolerance, tuning=self.tuning),
-            node.files,
+            node.written,
             random.Random(self.rng.random()),
             f"{self.rng.getrandbits(32):08x}",
             self.now,
@@ -100,47 +101,47 @@
         self._tick(node, node.incarnation)
 
     def kill(self, address: str, wipe: bool = False, power: bool = True) -> None:
-        """The process ends; with it goes the `power`, and what isn't synced may be lost, with `wipe` the disk
-        as well."""
+        """End the process. A power loss may discard unsynced data; `wipe` discards the disk."""
         node = self.nodes[address]
         if wipe:
-            for disk in {x.disk for x in (node.files, node.machine and node.machine.replica) if x}:
-                self.lost[disk] = self.now
-            node.files = node.stored = None
-        elif power and node.files is not node.stored and (self.unsynced_is_lost or self.rng.random() < 0.5):
-            node.files = node.stored
-        node.machine, node.incarnation, node.frozen = None, node.incarnation + 1, 0.0
+            for disk in {x.disk for x in (node.written, node.machine and node.machine.replica) if x}:
+                self.lost_disks[disk] = self.now
+            node.written = node.synced = None
+        elif power and node.written is not node.synced and (self.unsynced_is_lost or self.rng.random() < 0.5):
+            node.written = node.synced
+        node.machine, node.incarnation, node.frozen_until = None, node.incarnation + 1, 0.0
 
     def up(self) -> list[Node]:
         return [n for n in self.nodes.values() if n.machine is not None]
 
     def record(self) -> list[str]:
-        """All outputs from now on, a line each."""
+        """Record all further outputs, one per line."""
         self.log, self.log_from = [], self.now
         return self.log
 
     def leader(self) -> Node | None:
-        """The one that is sure to lead."""
+        """The node that holds the leader lease."""
         return next((n for n in self.up() if n.machine.has_leader_lease(self.now)), None)
 
     def propose(self, node: Node, expected: int) -> int:
-        token = len(self.asked) + 1
-        self.asked[token] = (b"v%d" % token, expected)
-        self.give(node, events.Propose(token, *self.asked[token]))
+        token = len(self.proposals) + 1
+        self.proposals[token] = (b"v%d" % token, expected)
+        self.deliver(node, events.Propose(token, *self.proposals[token]))
         return token
 
-    def give(self, node: Node, event: Any) -> None:
-        """Hand an input to a node's machine and do as it says, once it runs."""
-        if self.now < node.frozen:
+    def deliver(self, node: Node, event: Any) -> None:
+        """Pass an event to a node and carry out its outputs, delayed until the node is no longer frozen."""
+        if self.now < node.frozen_until:
             incarnation = node.incarnation
             self.at(
-                node.frozen - self.now, lambda: node.incarnation == incarnation and self.give(node, event)
+                node.frozen_until - self.now,
+                lambda: node.incarnation == incarnation and self.deliver(node, event),
             )
             return
         self._check_contact(node)
         for output in node.machine.handle(self.now, event):
             if self.log is not None:
-                self.log.append(f"{self.now - self.log_from:.3f} {node.address} {tell(output)}")
+                self.log.append(f"{self.now - self.log_from:.3f} {node.address} {format_output(output)}")
             if isinstance(output, Send):
                 self._send(node, output)
             elif isinstance(output, outputs.Write):
@@ -152,119 +153,126 @@
 
     def _tick(self, node: Node, incarnation: int) -> None:
         if node.incarnation == incarnation and node.machine is not None:
-            if self.now >= node.frozen:
-                self.give(node, events.Tick())
+            if self.now >= node.frozen_until:
+                self.deliver(node, events.Tick())
                 self._check_lease(node)
             self.at(TICK_S * self.rng.uniform(0.9, 1.5), lambda: self._tick(node, incarnation))
 
     def _send(self, node: Node, output: Send) -> None:
-        for _ in range(1 + (self.rng.random() < self.double)):
-            if self.rng.random() >= self.loss and (node.address, output.to) not in self.cut:
-                slow = 20 if self.rng.random() < self.double else 1
+        for _ in range(1 + (self.rng.random() < self.duplication)):
+            if self.rng.random() >= self.loss and (node.address, output.to) not in self.blocked:
+                slow = 20 if self.rng.random() < self.duplication else 1
                 self.at(slow * self.rng.uniform(*self.delay_s), lambda: self._arrive(node.address, output))
 
     def _arrive(self, sender: str, output: Send) -> None:
         node = self.nodes.get(output.to)
-        if node is not None and node.machine is not None and (sender, output.to) not in self.cut:
-            self.give(node, events.Received(sender, output.message))
+        if node is not None and node.machine is not None and (sender, output.to) not in self.blocked:
+            self.deliver(node, events.Received(sender, output.message))
 
     def _write(self, node: Node, write: outputs.Write) -> None:
         incarnation, fails = node.incarnation, node.disk_fails
 
         def put() -> None:
             if node.incarnation == incarnation and not fails:
-                node.files = write.record
+                node.written = write.record
 
-        def finish() -> None:
+        def check_progress() -> None:
             if node.incarnation != incarnation:
                 return
             if not fails:
-                node.files = node.stored = write.record
-            if not self.early:
-                self.give(
+                node.written = node.synced = write.record
+            if not self.acknowledges_early:
+                self.deliver(
                     node,
                     events.WriteFailed(write.token, "full") if fails else events.WriteCompleted(write.token),
                 )
 
         takes = self.rng.uniform(*node.disk_s)
         self.at(takes / 2, put)
-        self.at(takes, finish)
-        if self.early:
+        self.at(takes, check_progress)
+        if self.acknowledges_early:
             self.at(
                 0.0,
                 lambda: node.incarnation == incarnation
-                and self.give(node, events.WriteCompleted(write.token)),
+                and self.deliver(node, events.WriteCompleted(write.token)),
             )
 
     def _committed(self, node: Node, output: outputs.Committed) -> None:
-        if output.version <= node.heard:
-            raise InvariantViolation(f"{node.address} goes back from {node.heard} to {output.version}")
-        node.heard = output.version
+        if output.version <= node.committed_version:
+            raise InvariantViolation(
+                f"{node.address} went back from {node.committed_version} to {output.version}"
+            )
+        node.committed_version = output.version
         if self.committed.setdefault(output.version, output.value) != output.value:
             raise InvariantViolation(f"two values of version {output.version}")
-        refused = {self.asked[t][0] for t, outcome in self.outcomes.items() if outcome == "rejected"}
+        refused = {self.proposals[t][0] for t, outcome in self.outcomes.items() if outcome == "rejected"}
         if output.value in refused:
-            raise InvariantViolation(f"{output.value!r} was refused and is in force")
+            raise InvariantViolation(f"{output.value!r} was rejected and is committed")
 
     def _proposed(self, output: outputs.Proposed) -> None:
         if output.token in self.outcomes:
-            raise InvariantViolation(f"proposal {output.token} is answered twice")
+            raise InvariantViolation(f"proposal {output.token} has two results")
         self.outcomes[output.token] = output.outcome
-        value, expected = self.asked[output.token]
+        value, expected = self.proposals[output.token]
         if output.outcome == "committed":
             if (
-                self.done.setdefault(expected + 1, value) != value
+                self.acknowledged.setdefault(expected + 1, value) != value
                 or self.committed.get(expected + 1) != value
             ):
-                raise InvariantViolation(f"{value!r} was acknowledged as version {expected + 1} and isn't")
-            self.done_at.setdefault(expected + 1, self.now)
+                raise InvariantViolation(f"{value!r} was acknowledged but is not version {expected + 1}")
+            self.acknowledged_at.setdefault(expected + 1, self.now)
         elif output.outcome == "rejected" and value in self.committed.values():
-            raise InvariantViolation(f"{value!r} is in force and gets refused")
+            raise InvariantViolation(f"{value!r} is committed and gets rejected")
 
     def _check_contact(self, node: Node) -> None:
-        """Whoever says, before its next input, that it is in touch lacks nothing that was acknowledged a
-        while ago; so a process that has just thawed doesn't say so."""
+        """A node in quorum contact must have every change acknowledged before its contact period began.
+
+        This is checked before each event, so a process that resumes after a freeze must not claim contact.
+        """
         until = node.machine.quorum_contact_until()
         since = until - self.tuning.election_max_s * node.machine.timer.requested_scale
-        newest = max((v for v, at in self.done_at.items() if at <= since), default=0)
+        newest = max((v for v, at in self.acknowledged_at.items() if at <= since), default=0)
         if self.now < until and node.machine.committed_version < newest:
             if node.machine.has_leader_lease(self.now):
-                raise InvariantViolation(f"{node.address} is sure of an old version")
+                raise InvariantViolation(f"{node.address} holds the lease with an old version")
             raise InvariantViolation(
-                f"{node.address} is in touch and has version {node.machine.committed_version}, not {newest}"
+                f"{node.address} claims quorum contact but has version"
+                f" {node.machine.committed_version}, not {newest}"
             )
 
     def _check_lease(self, node: Node) -> None:
         if node.machine.has_leader_lease(self.now):
-            self.led[node.address, node.incarnation] = self.now
+            self.lease_held_at[node.address, node.incarnation] = self.now
             since = node.machine.leaderless_since
             if since is not None and any(
-                until > since for who, until in self.led.items() if who != (node.address, node.incarnation)
+                until > since
+                for who, until in self.lease_held_at.items()
+                if who != (node.address, node.incarnation)
             ):
-                raise InvariantViolation(f"{node.address} says that nobody has led since {since:.3f}")
-            if node.machine.committed_version < max(self.done, default=0):
-                raise InvariantViolation(f"{node.address} is sure of an old version")
+                raise InvariantViolation(f"{node.address} claims that there was no leader since {since:.3f}")
+            if node.machine.committed_version < max(self.acknowledged, default=0):
+                raise InvariantViolation(f"{node.address} holds the lease with an old version")
             if any(o is not node and o.machine.has_leader_lease(self.now) for o in self.up()):
-                raise InvariantViolation("two leaders are sure")
+                raise InvariantViolation("two leaders hold the lease")
 
 
 class FaultInjector:
-    """Chance that befalls a core; no more disks are lost at once than it bears."""
+    """Injects random faults, without losing more disks at once than the core tolerates."""
 
     def __init__(self, core: ConsensusCluster, rng: random.Random) -> None:
         self.core, self.rng = core, rng
-        core.loss, core.double = rng.choice([0, 0.02, 0.2]), rng.choice([0, 0.05, 0.2])
+        core.loss, core.duplication = rng.choice([0, 0.02, 0.2]), rng.choice([0, 0.05, 0.2])
         core.delay_s = rng.choice([(0.001, 0.003), (0.001, 0.035), (0.01, 0.1)])
         self.over = False
-        self.storm = rng.random() < 0.4  # many strikes at short intervals
+        self.storm = rng.random() < 0.4  # many faults at short intervals
 
     def inject_random_faults(self) -> None:
-        """All of it, with some time to go on in between."""
+        """Inject a series of faults with short recovery periods in between."""
         for _ in range(self.rng.randrange(20, 50) if self.storm else self.rng.randrange(4, 12)):
-            self.strike()
+            self.inject_fault()
             self.core.run(self.rng.choice([0.01, 0.05, 0.2, 0.6] if self.storm else [0.05, 0.3, 1.0, 2.5]))
 
-    def strike(self) -> None:
+    def inject_fault(self) -> None:
         core, rng = self.core, self.rng
         node = rng.choice(list(core.nodes.values()))
         act = rng.choice(
@@ -294,27 +302,27 @@
             if asker is not None and asker.machine is not None:
                 core.propose(asker, max(0, asker.machine.committed_version - (rng.random() < 0.1)))
 
-    def calm(self) -> None:
-        """All that may come back is back, and nothing is in the way."""
+    def end_faults(self) -> None:
+        """End all faults and restart every node that may return."""
         core, self.over = self.core, True
-        core.loss = core.double = 0.0
-        core.cut.clear()
+        core.loss = core.duplication = 0.0
+        core.blocked.clear()
         core.delay_s = (0.001, 0.035)
         for node in core.nodes.values():
-            node.disk_s, node.disk_fails, node.frozen = (0.002, 0.01), False, 0.0
+            node.disk_s, node.disk_fails, node.frozen_until = (0.002, 0.01), False, 0.0
             if node.machine is None or node.machine.leaving:
                 core.kill(node.address)
                 core.start(node.address)
-            core.give(node, events.KnownAddresses(tuple(core.nodes)))
+            core.deliver(node, events.KnownAddresses(tuple(core.nodes)))
 
     def _cut(self, node: Node) -> None:
         others = [a for a in self.core.nodes if a != node.address]
         for other in others if self.rng.random() < 0.5 else [self.rng.choice(others)]:
             ways = [(node.address, other), (other, node.address)]
-            self.core.cut.update(self.rng.choice([ways, ways[:1], ways[1:]]))
+            self.core.blocked.update(self.rng.choice([ways, ways[:1], ways[1:]]))
 
     def _heal(self, node: Node) -> None:
-        self.core.cut.clear()
+        self.core.blocked.clear()
 
     def _restart(self, node: Node, wipe: bool = False, power: bool | None = None) -> None:
         if node.machine is not None and not self.over:
@@ -331,9 +339,9 @@
             self._restart(each, each is node and self.rng.random() < 0.3 and self._may_lose(each))
 
     def _power(self, node: Node) -> None:
-        """All begin anew almost together, or all but one: it goes on, cut off perhaps, or stands still.
+        """Restart all nodes almost at once, or all but one, which may be partitioned or frozen.
 
-        Often once more, so soon that answers to the life between are still on their way.
+        This is often repeated so soon that responses to the previous incarnation are still in flight.
         """
         core = self.core
         for _ in range(self.rng.randrange(1, 4)):
@@ -352,7 +360,7 @@
             core.run(self.rng.uniform(0.05, 0.5))
 
     def _after_ack(self, node: Node) -> None:
-        """All lose power right after a proposal is done, and one that it was asked at may lose its disk."""
+        """Power loss at all nodes right after a proposal is acknowledged; the leader may lose its disk."""
         core = self.core
         if core.run(2.0, lambda: core.leader() is not None):
             leader = core.leader()
@@ -363,7 +371,7 @@
                     self._restart(each, wipe and each is leader, power=True)
 
     def _unsynced(self, node: Node) -> None:
-        """Those who are to save a proposal are killed before it is synced, and all lose power soon after."""
+        """Kill the followers before a proposal is synced; soon afterwards, all nodes lose power."""
         core = self.core
         if core.run(2.0, lambda: core.leader() is not None):
             leader = core.leader()
@@ -381,22 +389,23 @@
             core.unsynced_is_lost = False
 
     def _may_lose(self, node: Node) -> bool:
-        """May this disk be lost, after those that still count as members?"""
-        held = [
-            n.machine.replica.entry if n.machine else n.files.entry
+        """Whether this disk may be lost in addition to those lost already."""
+        held_entries = [
+            n.machine.replica.entry if n.machine else n.written.entry
             for n in self.core.nodes.values()
-            if n.machine or n.files
+            if n.machine or n.written
         ]
-        known = [n.machine.committed_entry for n in self.core.up() if n.machine.committed_entry]
-        if not known:
+        committed_entries = [n.machine.committed_entry for n in self.core.up() if n.machine.committed_entry]
+        if not committed_entries:
             return False
-        newest = [max(entries, key=lambda e: e.position) for entries in (held, known)]
-        late = {disk for disk, at in self.core.lost.items() if self.core.now < at + 2.0}
+        newest = [max(entries, key=lambda e: e.position) for entries in (held_entries, committed_entries)]
+        recently_lost = {disk for disk, at in self.core.lost_disks.items() if self.core.now < at + 2.0}
         return all(
-            len({m.disk for m in council} & {*self.core.lost} | late) < (len(council) - 1) // 2
+            len({m.disk for m in voter_set} & {*self.core.lost_disks} | recently_lost)
+            < (len(voter_set) - 1) // 2
             for entry in newest
-            for council in (entry.members, entry.outgoing)
-            if council
+            for voter_set in (entry.members, entry.outgoing)
+            if voter_set
         )
 
     def _wipe(self, node: Node) -> None:
@@ -414,11 +423,11 @@
         node.disk_fails = self.rng.random() < 0.3
 
     def _freeze(self, node: Node) -> None:
-        node.frozen = self.core.now + self.rng.uniform(0.2, 4.0)
+        node.frozen_until = self.core.now + self.rng.uniform(0.2, 4.0)
 
     def _leave(self, node: Node) -> None:
-        if node.machine is not None and self.core.now >= node.frozen:
-            self.core.give(node, events.Leave())
+        if node.machine is not None and self.core.now >= node.frozen_until:
+            self.core.deliver(node, events.Leave())
             incarnation = node.incarnation
             self.core.at(1.0, lambda: node.incarnation == incarnation and self._restart(node))
 
@@ -426,19 +435,19 @@
 def explore(
     count: int, seed: int, early: bool = False, kind: Callable[..., RaftNode] = RaftNode
 ) -> ConsensusCluster:
-    """Some seconds of trouble, then calm: a leader must be found and a proposal get done within 5 s."""
+    """Inject faults, then end them: a leader must be elected and a proposal committed within 5 s."""
     core = ConsensusCluster(count, seed, (count - 1) // 2, kind=kind)
-    core.early = early
+    core.acknowledges_early = early
     fault_injector = FaultInjector(core, random.Random(f"trouble {seed}"))
     core.run(random.Random(seed).uniform(0.3, 3.0))
     fault_injector.inject_random_faults()
-    fault_injector.calm()
-    finish(core, 5.0)
+    fault_injector.end_faults()
+    check_progress(core, 5.0)
     return core
 
 
-def finish(core: ConsensusCluster, within: float) -> None:
-    """A proposal gets done, and everyone who is up learns it."""
+def check_progress(core: ConsensusCluster, within: float) -> None:
+    """Check that a proposal is committed and applied by all running nodes."""
     end, token = core.now + within, 0
     while core.outcomes.get(token) != "committed":
         if not core.run(end - core.now, lambda: core.leader() is not None):
@@ -447,18 +456,18 @@
         token = core.propose(leader, leader.machine.committed_version)
         core.run(end - core.now, lambda token=token: token in core.outcomes)
         if core.now >= end:
-            raise InvariantViolation(f"nothing gets done within {within} s")
-    version = core.asked[token][1] + 1
-    if version <= max((v for v in core.done if v != version), default=0):
-        raise InvariantViolation("what was acknowledged is lost")
-    if not core.run(8.0, lambda: all(n.heard >= version for n in core.up())):
+            raise InvariantViolation(f"nothing was committed within {within} s")
+    version = core.proposals[token][1] + 1
+    if version <= max((v for v in core.acknowledged if v != version), default=0):
+        raise InvariantViolation("an acknowledged change is lost")
+    if not core.run(8.0, lambda: all(n.committed_version >= version for n in core.up())):
         raise InvariantViolation(
-            f"{[n.address for n in core.up() if n.heard < version]} lack version {version}"
+            f"{[n.address for n in core.up() if n.committed_version < version]} lack version {version}"
         )
 
 
-def tell(output: outputs.Output) -> str:
-    """An output in one line."""
+def format_output(output: outputs.Output) -> str:
+    """Format an output as one line."""
     if isinstance(output, outputs.Write):
         disk, term, vote, entry, scale = output.record
         scaled = f", timeout scale {scale:g}" if scale != 1.0 else ""
@@ -470,6 +479,6 @@
     parts = [f"{f.name}={v}" for f, v in message.ListFields() if f.name not in skip]
     if message.HasField("entry"):
         e = get_entry(message.entry)
-        names = [[m.disk for m in council] for council in (e.members, e.outgoing)]
+        names = [[m.disk for m in voter_set] for voter_set in (e.members, e.outgoing)]
         parts.append(f"entry={tuple(e.position)} v{e.version} {e.value!r} of {names[0]} before {names[1]}")
     return " ".join([f"to {output.to}", pb.Kind.Name(message.kind), *parts])
--- a/tests/gateway/consensus/test_power_loss.py
+++ b/tests/gateway/consensus/test_power_loss.py
@@ -1,4 +1,4 @@
-"""A core member's folder under losses of power: what is unsynced is there, torn or not, each by itself."""
+"""Power losses: any unsynced part of a member's folder may be present, missing or torn, independently."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 class PowerLostError(BaseException):
-    """Everything stops here."""
+    """Raised at the simulated power loss."""
 
 
 class Power:
-    """Notes what is synced under a folder, and breaks off at a call that changes or syncs something.
+    """Records what is synced under a folder, and simulates a power loss at a call that changes files.
 
-    `left` are the calls until then. `sure` holds, by folder, its synced names and which file each is;
-    `synced`, by file, what its last sync covered. `fails` is the chance that a sync fails.
+    `left` is the number of such calls until then. `sure` maps a folder to its synced names and their inodes;
+    `synced` maps an inode to the content of its last sync. `fails` is the probability that a sync fails.
     """
 
     def __init__(self, top: Path, after: Path, rng: random.Random, patch: pytest.MonkeyPatch) -> None:
         self.top, self.after, self.rng, self.left = top, after, rng, -1
         self.sure: dict[Path, dict[str, int]] = {}
         self.synced: dict[int, bytes] = {}
-        self.held: list[int] = []  # open, so that no number of a file is used anew
+        self.held: list[int] = []  # kept open, so that no inode number is reused
         self.fails = 0.0
         self.real = {name: getattr(os, name) for name in ("fsync", "unlink", "remove", "mkdir", "rename")}
         for name in self.real:
@@ -53,7 +53,7 @@
         return None
 
     def lose(self) -> None:
-        """Put what a start may find after a loss of power now into the folder `after`."""
+        """Copy what may be on disk after a power loss at this point into the folder `after`."""
         if self.after.exists():
             shutil.rmtree(self.after)
         self.copy(self.top, self.after)
@@ -85,7 +85,7 @@
 
 
 class NoFolderSync(Store):
-    """Planted fault: names aren't synced."""
+    """Injected bug: directory entries aren't synced."""
 
     def _sync(self, number: int) -> None:
         for suffix in (".dat", ".dir"):
@@ -95,14 +95,14 @@
 
 
 class NoParentSync(Store):
-    """Planted fault: the folder is made, and its own name isn't synced."""
+    """Injected bug: the directory entry of a new folder isn't synced."""
 
     def _create_folder(self) -> None:
         os.makedirs(self.folder, exist_ok=True)
 
 
-class Trusting(Store):
-    """Planted fault: what it has loaded counts as synced."""
+class TrustsUnsynced(Store):
+    """Injected bug: a loaded record counts as synced."""
 
     def save(self, record: Any) -> None:
         if not self.unsynced or record != self.newest_record:
@@ -110,8 +110,8 @@
         self._remove_obsolete()
 
 
-class Hasty(Store):
-    """Planted fault: the older generations go before the new one is synced."""
+class RemovesEarly(Store):
+    """Injected bug: older generations are removed before the new one is synced."""
 
     def _sync(self, number: int) -> None:
         for other in self._generations() - {number}:
@@ -120,7 +120,7 @@
 
 
 def day(folder: Path, seed: int, kind: type[Store], patch: pytest.MonkeyPatch) -> int:
-    """Lives of one member, ended by kills, the last one by a loss of power. Returns the saves that lasted."""
+    """Restart a member repeatedly by kills, then by a power loss. Returns the newest term that was saved."""
     rng = random.Random(seed)
     top = folder / "data"
     top.mkdir()
@@ -170,7 +170,7 @@
     return heartbeat_answered
 
 
-def test_what_is_saved_outlives_any_loss_of_power(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_saved_records_survive_power_loss(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     saved = 0
     for seed in range(300):
         (tmp_path / str(seed)).mkdir()
@@ -179,8 +179,8 @@
     assert saved > 500
 
 
-@pytest.mark.parametrize("kind", [NoFolderSync, NoParentSync, Trusting, Hasty])
-def test_planted_faults_of_a_store_are_found(
+@pytest.mark.parametrize("kind", [NoFolderSync, NoParentSync, TrustsUnsynced, RemovesEarly])
+def test_injected_store_bugs_are_detected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, kind: type[Store]
 ) -> None:
     for seed in range(300):
--- a/tests/gateway/consensus/test_storage.py
+++ b/tests/gateway/consensus/test_storage.py
@@ -1,4 +1,4 @@
-"""The record on disk: what is torn, missing or garbage is passed over, and a failing save harms nothing."""
+"""The record on disk: torn, missing or corrupt generations are skipped, and a failed save does no harm."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     return PersistentState("disk", term, "first-10.0.0.2:1", entry)
 
 
-def loaded(folder: Path) -> int:
-    """Term of the record that a start finds; 0 for none. It must be as it was saved."""
+def loaded_term(folder: Path) -> int:
+    """Term of the record loaded at a start, 0 if none; the record must be unmodified."""
     found = Store(str(folder)).load()
     assert found is None or found == record(found.term)
     return 0 if found is None else found.term
@@ -30,12 +30,12 @@
     return sorted(folder.glob(f"gen-{number}.*"))
 
 
-def test_the_last_two_are_kept(tmp_path: Path) -> None:
+def test_last_two_generations_are_retained(tmp_path: Path) -> None:
     store = Store(str(tmp_path / "deep" / "folder"))
     assert store.load() is None
     for term in range(1, 6):
         store.save(record(term))
-        assert loaded(tmp_path / "deep" / "folder") == term
+        assert loaded_term(tmp_path / "deep" / "folder") == term
     names = sorted(os.listdir(store.folder))
     assert names == ["gen-4.dat", "gen-4.dir", "gen-5.dat", "gen-5.dir"]
     again = Store(store.folder)
@@ -43,8 +43,8 @@
     assert sorted({n.split(".")[0] for n in os.listdir(store.folder)}) == ["gen-5", "gen-6"]
 
 
-def test_whatever_becomes_of_the_newest(tmp_path: Path) -> None:
-    """Each file of it cut off anywhere, overwritten, emptied or missing: the one before it is found."""
+def test_damaged_newest_generation(tmp_path: Path) -> None:
+    """Truncate, overwrite, empty or remove each file of the newest generation: the previous one is loaded."""
     store, rng = Store(str(tmp_path)), random.Random(3)
     store.save(record(1))
     store.save(record(2))
@@ -58,12 +58,12 @@
                 path.unlink()
             else:
                 path.write_bytes(data)
-            assert loaded(tmp_path) in ((1, 2) if data == whole or data == whole[:-1] else (1,))
+            assert loaded_term(tmp_path) in ((1, 2) if data == whole or data == whole[:-1] else (1,))
             path.write_bytes(whole)
-    assert loaded(tmp_path) == 2
+    assert loaded_term(tmp_path) == 2
 
 
-def test_litter(tmp_path: Path) -> None:
+def test_unrelated_files_in_the_folder(tmp_path: Path) -> None:
     store = Store(str(tmp_path))
     store.save(record(1))
     for name in ("gen-7.dat", "gen-8.dir", "gen-9.bak", "gen-x.dat", "gen-.dir", "other"):
@@ -71,7 +71,7 @@
     again = Store(str(tmp_path))
     assert again.load() == record(1)
     again.save(record(2))
-    assert loaded(tmp_path) == 2
+    assert loaded_term(tmp_path) == 2
     assert [p.name for p in files(tmp_path, 10)] == ["gen-10.dat", "gen-10.dir"]
     assert not any(files(tmp_path, n) for n in (7, 8, 9))
 
@@ -91,23 +91,28 @@
     monkeypatch.setattr(os, "fsync", fsync)
     with pytest.raises(OSError):
         store.save(record(2))
-    assert loaded(tmp_path) == 1
+    assert loaded_term(tmp_path) == 1
     synced.clear()
     failing = 0
     store.save(record(3))
-    assert loaded(tmp_path) == 3 and len(synced) == 3
+    assert loaded_term(tmp_path) == 3 and len(synced) == 3
     assert files(tmp_path, 1) and not files(tmp_path, 2)
 
 
-def test_what_is_loaded_is_synced_before_it_counts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process that was killed may have left it unsynced. A second try after a failure writes it anew, since
-    the first may have marked it clean."""
+def test_loaded_record_is_synced_before_it_counts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A killed process may have left the loaded record unsynced, so it is synced before it counts.
+
+    After a failed sync, the record is written again, because the failed sync may have marked the pages as
+    clean.
+    """
     Store(str(tmp_path)).save(record(1))
     synced, sync = [], os.fsync
     monkeypatch.setattr(os, "fsync", lambda descriptor: synced.append(descriptor) or sync(descriptor))
     store = Store(str(tmp_path))
     store.save(record(1))
-    assert len(synced) == 4 and files(tmp_path, 1) and not files(tmp_path, 2)  # once the folder's name too
+    assert (
+        len(synced) == 4 and files(tmp_path, 1) and not files(tmp_path, 2)
+    )  # includes the sync of the folder's directory entry
     store.save(record(1))
     assert len(synced) == 7 and files(tmp_path, 2)
     store = Store(str(tmp_path))
@@ -116,11 +121,11 @@
         store.save(record(1))
     monkeypatch.undo()
     store.save(record(1))
-    assert files(tmp_path, 3) and loaded(tmp_path) == 1
+    assert files(tmp_path, 3) and loaded_term(tmp_path) == 1
 
 
-def test_a_disk_that_is_full_at_the_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The process runs and serves what needs no disk; the folder is made once there is room."""
+def test_full_disk_at_startup(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The process runs without its disk; the folder is created once there is space."""
     folder = tmp_path / "register"
     with monkeypatch.context() as full:
         full.setattr(os, "mkdir", lambda *_: (_ for _ in ()).throw(OSError(28, "no space left on device")))
@@ -129,10 +134,10 @@
         with pytest.raises(OSError):
             store.save(record(1))
     store.save(record(2))
-    assert loaded(folder) == 2
+    assert loaded_term(folder) == 2
 
 
-def test_no_room_to_write(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_write_leaves_earlier_records(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     store = Store(str(tmp_path))
     store.save(record(1))
     monkeypatch.setattr(
@@ -141,13 +146,11 @@
     for _ in range(3):
         with pytest.raises(OSError):
             store.save(record(2))
-    assert len(os.listdir(tmp_path)) == 2 and loaded(tmp_path) == 1
+    assert len(os.listdir(tmp_path)) == 2 and loaded_term(tmp_path) == 1
 
 
-def test_a_full_disk_refuses_to_sync_the_folder_and_to_remove_too(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """From the first save on; what it leaves is of later saves than any that counts."""
+def test_full_disk_fails_folder_syncs_and_removals(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """From the first save on; what failed saves leave behind is newer than any record that counts."""
     folder, real = tmp_path / "register", os.fsync
 
     def sync(descriptor: int) -> None:
@@ -170,11 +173,11 @@
     fails(store, 2)
     assert Store(str(folder)).load() in (None, record(1), record(2))
     store.save(record(3))
-    assert loaded(folder) == 3 and len(os.listdir(folder)) == 2
+    assert loaded_term(folder) == 3 and len(os.listdir(folder)) == 2
     fails(store, 4)
     again = Store(str(folder))
     found = again.load()
     assert found in (record(3), record(4))
-    fails(again, found.term)  # it isn't synced, so it doesn't count yet
+    fails(again, found.term)  # not synced, so it doesn't count yet
     again.save(record(5))
-    assert loaded(folder) == 5
+    assert loaded_term(folder) == 5
--- a/tests/gateway/membership/test_membership.py
+++ b/tests/gateway/membership/test_membership.py
@@ -261,7 +261,7 @@
     follower.follow(5.0, ["a"])
     asked = [t for t in range(500, 900) if follower.tick(t / 100)]
     assert 19 <= len([t for t in asked if t < 700]) <= 21 and len([t for t in asked if t >= 720]) <= 5
-    follower.sources["a"].last_heard_at = 9.0
+    follower.sources["a"].last_contact_at = 9.0
     assert sum(bool(follower.tick(t / 100)) for t in range(900, 1100)) <= 6
 
 
--- a/tests/gateway/programs/controller_cluster.py
+++ b/tests/gateway/programs/controller_cluster.py
@@ -65,7 +65,7 @@
         return None
 
     def propose(self, token: int, value: bytes, expected: int) -> None:
-        self.core.give(self.node, events.Propose(token, value, expected))
+        self.core.deliver(self.node, events.Propose(token, value, expected))
 
     def config_in_force(self) -> tuple[int, ConfigState]:
         return self.version, self.config_state
@@ -94,11 +94,11 @@
         self.controllers[address] = self.controller(self, self.nodes[address])
         super().start(address, fresh)
 
-    def give(self, node: Node, event: Any) -> None:
+    def deliver(self, node: Node, event: Any) -> None:
         outer, self.giving = self.giving, node
-        super().give(node, event)
+        super().deliver(node, event)
         self.giving = outer
-        if isinstance(event, events.Tick) and self.now >= node.frozen:
+        if isinstance(event, events.Tick) and self.now >= node.frozen_until:
             self.controllers[node.address].control.proceed(self.now)
 
     def propose(self, node: Node, expected: int) -> int:
@@ -109,7 +109,7 @@
     def _proposed(self, output: outputs.Proposed) -> None:
         controller = self.controllers[self.giving.address]
         if output.outcome == "committed":
-            self.done[controller.version] = self.committed[controller.version]
+            self.acknowledged[controller.version] = self.committed[controller.version]
         controller.control.on_proposal_outcome(self.now, output.token, output.outcome)
 
     def _committed(self, node: Node, output: outputs.Committed) -> None:
@@ -197,9 +197,9 @@
                 arrive(node, node.incarnation)
 
         def arrive(node: Node, incarnation: int) -> None:
-            if self.now < node.frozen:
+            if self.now < node.frozen_until:
                 self.at(
-                    node.frozen - self.now,
+                    node.frozen_until - self.now,
                     lambda: node.incarnation == incarnation and arrive(node, incarnation),
                 )
                 return
@@ -328,7 +328,7 @@
         reads[-1].send()
         fault_injector.inject_random_faults()
         reads.append(Read(core))
-    fault_injector.calm()
+    fault_injector.end_faults()
     core.unheard = core.late = 0.0
     core.busy = False
     if not clear_s:
--- a/tests/gateway/programs/test_first_start.py
+++ b/tests/gateway/programs/test_first_start.py
@@ -10,7 +10,7 @@
 
 from gateway.membership import codec, events
 from gateway.membership.types import ValueKind
-from tests.gateway.consensus.consensus_cluster import ConsensusCluster, Node, finish
+from tests.gateway.consensus.consensus_cluster import ConsensusCluster, Node, check_progress
 from tests.gateway.drift.drift_network import (
     CONTROLLER_ADDRESSES,
     FleetNetwork,
@@ -42,7 +42,7 @@
         core = Staggered(3, seed, list(order))
         core.run(SPREAD_S)
         assert core.run(0.7, lambda core=core: core.leader() is not None)
-        finish(core, 0.5)
+        check_progress(core, 0.5)
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/gateway/programs/test_order_retries.py
+++ b/tests/gateway/programs/test_order_retries.py
@@ -40,7 +40,7 @@
         core.kill(address, wipe=True)
         del core.nodes[address]
         core.add(f"10.0.1.{n}:1")
-        core.give(
+        core.deliver(
             core.nodes[f"10.0.1.{n}:1"], events.KnownAddresses(tuple(core.nodes))
         )  # which the rounds tell it
         core.run(6.0)
--- a/tests/gateway/quota/test_owner_startup.py
+++ b/tests/gateway/quota/test_owner_startup.py
@@ -1,4 +1,4 @@
-"""What a new shard owner lets go before its count opens, when nobody tells it of a share."""
+"""What a new shard owner admits before its count opens if no share is reported to it."""
 
 from __future__ import annotations
 
@@ -16,19 +16,21 @@
 from tests.gateway.quota.quota_network import QuotaNetwork
 
 
-def test_a_part_of_the_allowance_flows_evenly_until_the_count_opens() -> None:
+def test_part_of_the_allowance_accrues_evenly_until_the_count_opens() -> None:
     count = TenantCounter(100.0, Window(1.0, 60), 100.0, 1)
     share = count.shares.share_of("10.0.0.1:7660", 0)
     went = [now for now in range(100) if count.charge(100.0 + now / 100, share, now, 0, 0)]
     assert not [n for n in went if n < 3] and len([n for n in went if n < 50]) in (14, 15)
     assert len(went) <= EARLY_FRACTION * 60
     count.begin_window(101.0)
-    assert sum(count.charge(101.0, share, 1000 + n, 0, 0) for n in range(99)) == 60  # open now
+    assert sum(count.charge(101.0, share, 1000 + n, 0, 0) for n in range(99)) == 60  # the count is open now
 
 
-def test_once_a_share_is_told_no_more_flows_than_is_told() -> None:
-    """The quota clients that told nothing may go by shares of their own meanwhile: both together were too
-    much."""
+def test_only_reported_shares_accrue_once_one_is_reported() -> None:
+    """Quota clients that reported nothing may use shares of their own meanwhile.
+
+    Admitting both the reported shares and `EARLY_FRACTION` exceeded the allowance.
+    """
     count = TenantCounter(100.0, Window(1.0, 60), 100.0, 1)
     count.on_share_reported(100.0, "10.0.0.1:7660", ReportedShare(FULL_SHARE // 5, 10.0, 0, 100.0))
     share = count.shares.share_of("10.0.0.2:7660", 0)
@@ -36,8 +38,8 @@
     assert 0 < len(went) <= 60 // 5
 
 
-def open_at_once() -> TenantCounter:
-    """A count of a part that nobody has counted for a window and more."""
+def open_count() -> TenantCounter:
+    """A count of a shard that nobody has counted for more than a window."""
     return TenantCounter(100.0, Window(1.0, 60), 98.9, 1, 100.0)
 
 
@@ -46,20 +48,22 @@
     return sum(count.charge(now, share, int(now * 1e6) + n, 0, 0) for n in range(99))
 
 
-def test_a_count_is_open_at_once_where_nobody_has_counted_for_a_window() -> None:
-    count = open_at_once()
+def test_count_opens_at_once_if_nobody_counted_for_a_window() -> None:
+    count = open_count()
     assert admitted(count, 100.0, "10.0.0.1:7660") == 60
 
 
-def test_it_closes_again_when_a_quota_client_has_a_share_of_before() -> None:
-    count = open_at_once()
+def test_count_closes_again_when_an_earlier_share_is_reported() -> None:
+    count = open_count()
     count.on_share_reported(100.0, "10.0.0.1:7660", ReportedShare(FULL_SHARE // 5, 10.0, 0, 100.0))
     assert admitted(count, 100.5, "10.0.0.2:7660") <= 60 // 10
     count.begin_window(101.0)
     assert count.opens_at == 101.0
 
 
-def hold(shards: int = ALL_SHARDS, number: int = 1, at: float = 99.9, incarnation: int = 0) -> LeaseGrant:
+def lease_grant(
+    shards: int = ALL_SHARDS, number: int = 1, at: float = 99.9, incarnation: int = 0
+) -> LeaseGrant:
     return LeaseGrant(
         incarnation=incarnation,
         request_sent_at=at,
@@ -71,9 +75,11 @@
     )
 
 
-def charged(owner: ShardOwner, now: float, id: int, held: bool = False) -> int:
-    note = Message(charge=Charge(id=id, tenant=tenant_number("one"), incarnation=7, had_other_share=held))
-    (answer,) = owner.handle(now, Received("10.0.0.1:7660", note))
+def charge(owner: ShardOwner, now: float, id: int, had_share: bool = False) -> int:
+    message = Message(
+        charge=Charge(id=id, tenant=tenant_number("one"), incarnation=7, had_other_share=had_share)
+    )
+    (answer,) = owner.handle(now, Received("10.0.0.1:7660", message))
     return int(answer.message.verdict.code)
 
 
@@ -81,7 +87,7 @@
     owner = ShardOwner(5.0, random.Random(1))
     owner.handle(now, Allowances({"one": (10.0, 10.0)}))
     owner.handle(now, SetLeader("p0"))
-    owner.handle(now, Received("p0", Message(lease_grant=hold(incarnation=owner.incarnation))))
+    owner.handle(now, Received("p0", Message(lease_grant=lease_grant(incarnation=owner.incarnation))))
     owner.handle(
         now,
         Received(
@@ -92,24 +98,25 @@
     return owner
 
 
-def test_a_shard_owner_opens_at_once_but_not_a_second_time() -> None:
+def test_shard_owner_opens_at_once_only_the_first_time() -> None:
     owner = owner_at(100.0)
-    assert [charged(owner, 100.0, n) for n in range(11)] == [VerdictCode.ADMITTED] * 10 + [
+    assert [charge(owner, 100.0, n) for n in range(11)] == [VerdictCode.ADMITTED] * 10 + [
         VerdictCode.REJECTED
     ]
-    owner.handle(103.0, Tick())  # its lease is over
+    owner.handle(103.0, Tick())  # its lease has expired
     owner.handle(
-        103.0, Received("p0", Message(lease_grant=hold(number=2, at=103.0, incarnation=owner.incarnation)))
+        103.0,
+        Received("p0", Message(lease_grant=lease_grant(number=2, at=103.0, incarnation=owner.incarnation))),
     )
-    assert charged(owner, 103.0, 20) == VerdictCode.NOT_OPEN
+    assert charge(owner, 103.0, 20) == VerdictCode.NOT_OPEN
 
 
-def test_a_quota_client_that_has_had_a_share_closes_it() -> None:
+def test_client_that_had_a_share_closes_the_count() -> None:
     owner = owner_at(100.0)
-    assert charged(owner, 100.0, 1, held=True) == VerdictCode.NOT_OPEN
+    assert charge(owner, 100.0, 1, had_share=True) == VerdictCode.NOT_OPEN
 
 
-def asked(
+def request_lease(
     shard_assigner: ShardAssigner, now: float, sender: str, incarnation: int = 1, shards: int = 0
 ) -> LeaseGrant:
     request = LeaseRequest(incarnation=incarnation, sent_at=now, shards=shards)
@@ -127,10 +134,10 @@
     return shard_assigner
 
 
-def test_a_first_leader_tells_how_long_nobody_has_counted() -> None:
+def test_first_leader_reports_how_long_shards_were_idle() -> None:
     shard_assigner = leader(9.0)
-    assert asked(shard_assigner, 10.1, "p0").shards == 0  # p1 may have some
-    one, other = asked(shard_assigner, 10.1, "p1"), asked(shard_assigner, 10.2, "p0")
+    assert request_lease(shard_assigner, 10.1, "p0").shards == 0  # p1 may own some shards
+    one, other = request_lease(shard_assigner, 10.1, "p1"), request_lease(shard_assigner, 10.2, "p0")
     assert (
         one.idle_shards == one.shards
         and other.idle_shards == other.shards
@@ -138,19 +145,19 @@
     )
     assert one.idle_ms in (1099, 1100) and other.idle_ms in (1199, 1200)
     assert (
-        asked(shard_assigner, 10.3, "p1", incarnation=2).idle_shards == 0
-    )  # its process before may have counted
-    assert asked(leader(None), 10.1, "p0").idle_shards == 0
+        request_lease(shard_assigner, 10.3, "p1", incarnation=2).idle_shards == 0
+    )  # its earlier process may have counted them
+    assert request_lease(leader(None), 10.1, "p0").idle_shards == 0
     reported = leader(9.0)
-    asked(reported, 10.1, "p0", shards=5)
-    asked(reported, 10.1, "p1")
-    assert asked(reported, 10.2, "p0", shards=5).idle_shards & 5 == 0
+    request_lease(reported, 10.1, "p0", shards=5)
+    request_lease(reported, 10.1, "p1")
+    assert request_lease(reported, 10.2, "p0", shards=5).idle_shards & 5 == 0
 
 
-def lost_all(
-    seed: int, down_s: float, proxies_too: bool, told: bool = True, age_s: float = 0.2
+def restart_all(
+    seed: int, down_s: float, proxies_too: bool, known_leaderless: bool = True, age_s: float = 0.2
 ) -> QuotaNetwork:
-    """A pressed tenant, and a calm one; then all processes are killed, or the core's, and begin anew."""
+    """Overload one tenant but not another, then kill and restart all processes or only the core's."""
     net = QuotaNetwork(14, 3, {"hot": (63.0, 63.0), "calm": (100.0, 100.0)}, seed)
     net.run(6.0)
     net.load("hot", 63.0 * 8, 22.0)
@@ -165,23 +172,23 @@
         net.start(name)
     began = net.now
     net.run(began + age_s)
-    net.lead("p0", began if told else None)
+    net.set_leader("p0", began if known_leaderless else None)
     return net
 
 
 @pytest.mark.parametrize("proxies_too", [True, False])
-def test_no_loss_of_all_lets_a_tenant_pass_its_limit(proxies_too: bool) -> None:
+def test_allowance_holds_after_a_restart_of_all_processes(proxies_too: bool) -> None:
     for seed in range(16):
-        net = lost_all(seed, 0.1 * seed, proxies_too)
+        net = restart_all(seed, 0.1 * seed, proxies_too)
         net.run(22.0)
-        assert net.most("hot") <= net.bound("hot")
+        assert net.max_in_span("hot") <= net.allowance_bound("hot")
 
 
-def test_after_a_loss_of_all_more_is_served() -> None:
-    def served(told: bool) -> int:
-        net = lost_all(3, 1.5, True, told, 0.6)
+def test_known_leaderless_time_admits_more_after_a_restart() -> None:
+    def served(known_leaderless: bool) -> int:
+        net = restart_all(3, 1.5, True, known_leaderless, 0.6)
         begin = net.now
         net.run(begin + 1.0)
-        return sum(t > begin for t in net.went["hot"])
+        return sum(t > begin for t in net.admitted_at["hot"])
 
     assert served(True) > 2 * served(False)
--- a/tests/gateway/quota/test_reserved_shares.py
+++ b/tests/gateway/quota/test_reserved_shares.py
@@ -1,21 +1,21 @@
-"""What a new shard owner keeps back for a quota client that never tells its share: its machine is lost."""
+"""What a new shard owner reserves for a quota client that never reports its share because it was lost."""
 
 from __future__ import annotations
 
 from gateway.quota.protocol import FULL_SHARE
 from gateway.quota.tenant_counter import ReportedShare, TenantCounter
 from gateway.quota.window import Window
-from tests.gateway.quota.quota_network import SPAN, QuotaNetwork
+from tests.gateway.quota.quota_network import SPAN_S, QuotaNetwork
 
 
-def test_shares_that_a_count_lowers_are_not_kept_back() -> None:
+def test_reduced_shares_are_not_reserved() -> None:
     count = TenantCounter(100.0, Window(1.0, 60), 100.0, 1)
     for name in "ab":
         count.on_share_reported(100.1, name, ReportedShare(FULL_SHARE // 2 - 400, 12.0, 0, 100.0))
     count.reserve({}, True)
     reserved = count.reserved
     assert round(reserved * FULL_SHARE / 60) == 800
-    for window in range(1, 9):  # now all comes to one of them
+    for window in range(1, 9):  # now all requests arrive at one of them
         now = 100.5 + window
         count.begin_window(now)
         for id in range(40):
@@ -27,7 +27,7 @@
     assert count.shares.by_client["b"].size > FULL_SHARE // 2
 
 
-def test_a_machine_lost_with_its_shard_owner_and_its_quota_client_costs_little() -> None:
+def test_loss_of_a_machine_with_owner_and_client_rejects_few_requests() -> None:
     net = QuotaNetwork(14, 3, {"calm": (40.0, 40.0)}, 3)
     net.run(6.0)
     net.load("calm", 27.0, 40.0)
@@ -35,7 +35,9 @@
     for name in (next(n for n, h in net.owners.items() if h.counter_states(net.now)), "s3"):
         net.kill(name)
     if net.leader in net.dead:
-        net.lead(next(iter(net.owners)))
-    asked = net.asked["calm"]
+        net.set_leader(next(iter(net.owners)))
+    asked = net.request_count["calm"]
     net.run(40.0)
-    assert len(net.refused) < 0.05 * (net.asked["calm"] - asked) and net.most("calm") <= 40 * (SPAN + 1)
+    assert len(net.rejections) < 0.05 * (net.request_count["calm"] - asked) and net.max_in_span(
+        "calm"
+    ) <= 40 * (SPAN_S + 1)
--- a/tests/simulation/test_allowance.py
+++ b/tests/simulation/test_allowance.py
@@ -20,13 +20,13 @@
 
 
 class MisreadingNetwork(QuotaNetwork):
-    """One proxy reads verdicts wrongly."""
+    """Injected bug: one proxy misreads verdicts."""
 
-    def take(self, sender: str, to: str, note: Any) -> None:
-        if to == "s0" and note.WhichOneof("kind") == "verdict":
-            note = Message.FromString(note.SerializeToString())
-            note.verdict.remaining += 500
-        super().take(sender, to, note)
+    def deliver(self, sender: str, to: str, message: Any) -> None:
+        if to == "s0" and message.WhichOneof("kind") == "verdict":
+            message = Message.FromString(message.SerializeToString())
+            message.verdict.remaining += 500
+        super().deliver(sender, to, message)
 
 
 def busy(kind: type[QuotaNetwork] = QuotaNetwork, seed: int = 1) -> QuotaNetwork:
@@ -52,14 +52,14 @@
     assert all(row["nodes"] == 4 and row["oldest-s"] < 8 for row in now.tenants)
     assert any(row["differs"] > 0 for row in now.views)  # old as they are, by which nothing is wrong
     net.kill(now.tenants[1]["holder"])
-    net.lead(next(iter(net.owners)))
+    net.set_leader(next(iter(net.owners)))
     net.loss = 0.1
     net.run(23.0)
-    net.away = {"s1"}
+    net.partitioned = {"s1"}
     for until in range(24, 40):
         net.run(until)
         assert all(row["state"] == "agrees" for row in told(net).tenants), until
-    net.away, net.loss = set(), 0.0
+    net.partitioned, net.loss = set(), 0.0
     net.run(50.0)
     assert told(net).is_healthy and all(row["nodes"] == 4 for row in told(net).tenants)
 
@@ -89,11 +89,11 @@
     net = busy()
     net.loss = 0.3
     net.run(25.0)
-    net.away = {"s2"}
+    net.partitioned = {"s2"}
     net.run(40.0)
     lines = {name: ClientReport(name, quota_client) for name, quota_client in net.quota_clients.items()}
     changes = [line.changes(net.now) for line in lines.values()]
-    net.away, net.loss = set(), 0.0
+    net.partitioned, net.loss = set(), 0.0
     net.run(62.0)
     changes += [line.changes(net.now) for line in lines.values()]
     assert [line.changes(net.now) for line in lines.values()] == [{}] * 4
@@ -102,11 +102,11 @@
     ]
     for tenant in TENANTS:
         ways = [sum(column) for column in zip(*(w for t, w in counts if t == tenant), strict=True)]
-        assert sum(ways) == net.asked[tenant] and ways[DecisionKind.ADMITTED_BY_OWNER] + ways[
+        assert sum(ways) == net.request_count[tenant] and ways[DecisionKind.ADMITTED_BY_OWNER] + ways[
             DecisionKind.ADMITTED_BY_SHARE
-        ] == len(net.went[tenant])
+        ] == len(net.admitted_at[tenant])
         assert all(ways) or tenant == "calm"
-    assert sum(sum(t.values()) for n in changes for t in n["times"].values()) == net.asked.total()
+    assert sum(sum(t.values()) for n in changes for t in n["times"].values()) == net.request_count.total()
     waited = net.quota_clients["s0"].statistics.times[DecisionKind.ADMITTED_BY_OWNER]
     assert sum(waited[: BUCKET_EDGES.index(0.008)]) > 0.5 * sum(waited)  # 2 to 8 ms a round trip
 
@@ -148,11 +148,11 @@
     look()
     gone = next(iter(told(net).tenants))["holder"]
     net.kill(gone)
-    net.lead(next(iter(net.owners)))
+    net.set_leader(next(iter(net.owners)))
     net.run(40.0)
     look()
     day = simulation.gather(simulation.read([*lines, lines[-1][:60]]))
-    decided = net.asked.total() - len(net.tenant_of)  # some are still waiting
+    decided = net.request_count.total() - len(net.tenant_of)  # some are still waiting
     assert sum(map(sum, day.decided.values())) == decided == sum(map(sum, day.times.values()))
     assert {key for key in day.decided} == {("calm", 0), ("hot", 0), ("hot", 2)}
     assert 0.002 < simulation.quantile(day.times["holder"], 0.5) < 0.009
