--- a/gateway/proxy/decisions.py
+++ b/gateway/proxy/decisions.py
@@ -1,7 +1,4 @@
-"""The decisions on a request: the charge to its tenant's quota, its service, and the choice of a backend.
-
-The names of the methods of `Service` are those of `ingress.routing.Routing`, its base class.
-"""
+"""The decisions on a request: charging its tenant's quota, then selecting its service and a backend."""
 
 from __future__ import annotations
 
@@ -26,31 +23,33 @@
 from ingress.customer import Customer
 from ingress.flight import ActiveRequest
 
-CHARGE_TIMEOUT_RATIO = 0.25  # of its target latency, for a charge; then this ingress's share decides
-MAX_CHARGE_TIMEOUT_S = 0.12  # the upper limit of that time
-MIN_RETRY_AFTER_S = 0.1  # after a refusal for other reasons than quota: random, one to three times this
+# Timeout of a charge relative to the target latency; then the local share decides.
+CHARGE_TIMEOUT_RATIO = 0.25
+MAX_CHARGE_TIMEOUT_S = 0.12  # upper limit of the timeout of a charge
+# Rejections for reasons other than quota use a random time of one to three times this.
+MIN_RETRY_AFTER_S = 0.1
 
 log = logging.getLogger("gateway.proxy.decisions")
 
 
 class PendingCharge(NamedTuple):
-    """A request that waits for the decision on its charge."""
+    """A request waiting for the decision on its charge."""
 
     request: ActiveRequest
     service: Service
 
 
 class BackendCounts(NamedTuple):
-    """The number of known backends, and how many of them are avoided."""
+    """The number of known backends, and how many of them are currently avoided."""
 
     known: int
     avoided: int
 
 
 class Decisions:
-    """The decision state machine of one ingress: `handle` takes an event and returns the resulting outputs.
+    """The decision state machine of one proxy: `handle` takes an event and returns the resulting outputs.
 
-    `budget` makes the retry budget of a service, given the number of ingresses.
+    `budget` creates the retry budget of a service, given the number of proxies.
     """
 
     def __init__(
@@ -65,20 +64,20 @@
         self.budget = budget
         self.rng = rng
         self.services: dict[str, Service] = {}
-        # By the attempt number of the charge; None: the client has disconnected.
+        # By the attempt number of the charge; None if the client has disconnected.
         self.pending_charges: dict[int, PendingCharge | None] = {}
         self.service_by_request: dict[str, Service] = {}
-        self.charged_requests: set[str] = set()  # of these, those whose unit can still be refunded
-        self.initial_ingresses = terms.instances  # assumed for the budget of a new service
+        self.charged_requests: set[str] = set()  # requests whose unit can still be refunded
+        self.initial_ingresses = terms.instances  # initial estimate for the budget of a new service
         self.peers = PeersChanged(terms.instances, 0, 0)
-        self.peers_grown_at: float | None = None  # when the number of ingresses last increased
+        self.peers_grown_at: float | None = None  # when the number of proxies last increased
         self.customers: dict[str, Customer] = {}
         self.refusals = Refusals()
         self.outputs: list[Output] = []
         self.sweep_timers: dict[int, Service] = {}  # by timer token
 
     def handle(self, now: float, event: Event) -> list[Output]:
-        """Handle one event; `now` is in seconds of a steady clock. Events of other types are ignored."""
+        """Handle one event; `now` is in seconds of a monotonic clock. Other types of events are ignored."""
         self.outputs = []
         match event:
             case io.Request():
@@ -100,16 +99,16 @@
         return self.outputs
 
     def members(self, now: float) -> BackendCounts:
-        """The number of known backends, and how many of them are avoided."""
+        """The number of known backends, and how many of them are currently avoided."""
         counts = [service.fleet.members(now) for service in self.services.values()]
         return BackendCounts(sum(known for known, _ in counts), sum(avoided for _, avoided in counts))
 
-    # A request: charge, then the choice of a backend by its service.
+    # Requests: the charge, then the selection of a backend by the service.
 
     def request(self, now: float, received: io.Request) -> None:
-        """Charge one unit to the tenant's quota before the request is sent on; without a limit, send it."""
+        """Charge one unit to the tenant's quota, then forward the request; no limit means no charge."""
         self.refusals.request_received(now)
-        context: RequestContext = received.about
+        context: RequestContext = received.context
         route = context.route
         tenant = context.tenant
         service = self.service(now, route.pick_service(self.rng.random()))
@@ -129,10 +128,10 @@
         self.handle_quota(now, charge)
 
     def service(self, now: float, name: str) -> Service:
-        """The service of this name; a new one has no backends yet."""
-        known = self.services.get(name)
-        if known is not None:
-            return known
+        """The service with this name; a new one has no backends yet."""
+        service = self.services.get(name)
+        if service is not None:
+            return service
         budget = self.budget(self.initial_ingresses)
         service = Service(name, self.terms, budget, self.rng, now, self.give_up)
         self.services[name] = service
@@ -142,16 +141,16 @@
         return service
 
     def customer_of(self, label: str, now: float) -> Customer:
-        """The tenant, as the `Customer` that `Routing` expects."""
-        known = self.customers.get(label)
-        if known is None:
+        """The tenant as the `Customer` that `Routing` expects."""
+        customer = self.customers.get(label)
+        if customer is None:
             if len(self.customers) >= services.MAX_REJECTION_KEYS:
                 self.customers.clear()
-            known = self.customers[label] = Customer(0, io.PlanSettings(label, 0.0, 0.0), now)
-        return known
+            customer = self.customers[label] = Customer(0, io.PlanSettings(label, 0.0, 0.0), now)
+        return customer
 
     def handle_quota(self, now: float, event: quota_events.ClientEvent) -> None:
-        """Pass an event to the quota client, and carry out the decisions that result."""
+        """Pass an event to the quota client, and carry out the resulting decisions."""
         for output in self.quota_client.handle(now, event):
             if not isinstance(output, ChargeDecision):
                 self.outputs.append(output)
@@ -159,7 +158,7 @@
                 self._on_charge_decision(now, output)
 
     def _on_charge_decision(self, now: float, decision: ChargeDecision) -> None:
-        """Forward a charged request, or reject it; if its client has disconnected, refund the unit."""
+        """Forward a charged request or reject it; if its client has disconnected, refund the unit."""
         pending = self.pending_charges.pop(decision.attempt_id)
         if pending is None:
             if decision.admitted:
@@ -173,45 +172,45 @@
             self.outputs.append(RejectOverQuota(request_id, decision.retry_after_s, decision.reason))
 
     def forward(self, now: float, request: ActiveRequest, service: Service) -> None:
-        """Hand a request, which is within its allowance, to its service to be sent to a backend."""
+        """Pass a request that is within its allowance to its service, to be sent to a backend."""
         self.service_by_request[request.req.id] = service
         service.active_requests[request.req.id] = request
         self.run_service(service, lambda: service.send(now, request))
 
     def forward_guarded(self, now: float, request: ActiveRequest, service: Service) -> None:
-        """As `forward`, outside the handling of the request's own event.
+        """Like `forward`, but outside of the handling of the request's own event.
 
-        An exception is logged and ends the request, as it would there.
+        An exception is logged and ends the request, as it would inside.
         """
         try:
             self.forward(now, request, service)
         except Exception:
-            log.exception("sending request %s on", request.req.id)
+            log.exception("could not forward request %s", request.req.id)
             self.give_up(now, request, 0.0)
 
     def run_service(self, service: Service, call: Callable[[], None]) -> None:
-        """Let a service act, collect its actions, and set its sweep timer if it needs one."""
-        service.acts = []
+        """Run an operation of a service, collect its actions, and set its sweep timer if necessary."""
+        service.actions = []
         call()
-        self.outputs += service.acts
-        if not service.armed and (service.limit.in_flight or service.queue):
-            service.armed = True
+        self.outputs += service.actions
+        if not service.sweep_timer_set and (service.limit.in_flight or service.queue):
+            service.sweep_timer_set = True
             token = next(token for token, known in self.sweep_timers.items() if known is service)
             self.outputs.append(io.SetTimer(services.SWEEP_INTERVAL_S, token))
 
-    def movable(self, now: float, request_id: str) -> bool:
-        """Whether a request that is at a backend may be cancelled there and sent to another one."""
+    def may_move(self, now: float, request_id: str) -> bool:
+        """Whether a request at a backend may be cancelled there and sent to another backend."""
         service = self.service_by_request.get(request_id)
         request = service.active_requests.get(request_id) if service is not None else None
-        return service is not None and request is not None and service.movable(now, request)
+        return service is not None and request is not None and service.may_move(now, request)
 
     def sweep_due(self, now: float, event: io.TimerFired) -> None:
-        """A service's sweep timer has fired: check silent backends and queued requests."""
+        """Handle a service's sweep timer: check unresponsive backends and queued requests."""
         service = self.sweep_timers[event.token]
         self.run_service(service, lambda: service.sweep(now))
 
     def stream_progress(self, now: float, event: io.AttemptStarted | io.AttemptWritten) -> None:
-        """A large request body or response is being streamed."""
+        """Handle the progress of a streamed request body or response."""
         service = self.service_by_request.get(event.request)
         if service is None:
             return
@@ -221,7 +220,7 @@
             self.run_service(service, lambda: service.written(now, event))
 
     def ended(self, now: float, event: io.AttemptEnded) -> None:
-        """An attempt has ended. The unit is kept charged unless the outcome shows that it never ran."""
+        """Handle the end of an attempt. The unit stays charged unless the outcome proves it never ran."""
         service = self.service_by_request.get(event.request)
         if service is None:
             return
@@ -229,12 +228,13 @@
             self.charged_requests.discard(event.request)
         self.run_service(service, lambda: service.ended(now, event))
         is_active = event.request in service.active_requests
-        if not is_active and not any(event.request in b.out for b in service.fleet.backends.values()):
-            self.refund(now, event.request)  # if the client disconnected while a connection was being opened
+        if not is_active and not any(event.request in b.in_flight for b in service.fleet.backends.values()):
+            # The client may have disconnected while a connection was being opened.
+            self.refund(now, event.request)
             self.forget(event.request)
 
     def client_gone(self, now: float, event: io.ClientGone) -> None:
-        """The client has disconnected: a request that was never sent gets its unit refunded."""
+        """Handle a disconnected client; if the request was never sent, its unit is refunded."""
         number = attempt_number(event.request)
         if number in self.pending_charges:
             self.pending_charges[number] = None
@@ -247,7 +247,7 @@
         self.forget(event.request)
 
     def forget(self, request_id: str) -> None:
-        """Drop a finished request."""
+        """Remove a finished request."""
         self.service_by_request.pop(request_id, None)
         self.charged_requests.discard(request_id)
 
@@ -258,9 +258,9 @@
             self.handle_quota(now, quota_events.Refund(attempt_number(request_id)))
 
     def give_up(self, now: float, request: ActiveRequest, retry_after_s: float) -> None:
-        """Answer a request finally: with a refusal and a time to retry if it never ran, else with a failure.
+        """Send the final response: a rejection if the request never ran, otherwise a failure.
 
-        `retry_after_s` is the least time to retry.
+        `retry_after_s` is the minimum time before a retry.
         """
         request_id = request.req.id
         service = self.service_by_request.get(request_id)
@@ -276,22 +276,22 @@
             self.outputs.append(io.Refuse(request_id, max(retry_after_s, jitter_s), reason))
         self.forget(request_id)
 
-    # Backends and ingresses.
+    # Backends and proxies.
 
     def backends_changed(self, now: float, event: BackendsChanged) -> None:
         """Apply changes of a service's backends."""
         service = self.service(now, event.service)
         update = io.ListUpdate(io.ListKind.CHANGE, 0, event.entries)
-        self.run_service(service, lambda: service.listed(now, update))
+        self.run_service(service, lambda: service.apply_backend_list(now, update))
         service.assign_own_backends(self.peers.index_in_zone, self.peers.zone_ingresses)
 
     def peers_changed(self, now: float, event: PeersChanged) -> None:
-        """Divide backends, slots and retry budgets among the ingresses anew."""
+        """Redistribute backends, slots and retry budgets among the proxies."""
         if self.peers_grown_at is None or event.ingresses > self.peers.ingresses:
             self.peers_grown_at = now
         self.peers = event
         self.terms = replace(self.terms, instances=max(1, event.ingresses))
         for service in self.services.values():
-            service.s = self.terms
+            service.settings = self.terms
             service.budget.share_among(now, self.terms.instances)
             service.assign_own_backends(event.index_in_zone, event.zone_ingresses)
--- a/gateway/proxy/events.py
+++ b/gateway/proxy/events.py
@@ -1,4 +1,4 @@
-"""Input events of `Decisions` besides those of `ingress.interface`. Each docstring says when it is raised."""
+"""Input events of `Decisions` in addition to those of `ingress.interface`."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 
 class BackendsChanged(NamedTuple):
-    """Raised when backends of a service were added, changed or removed."""
+    """Raised when backends of a service have been added, changed or removed."""
 
     service: str
     entries: tuple[io.BackendEntry, ...]
 
 
 class PeersChanged(NamedTuple):
-    """Raised when the set of ingresses has changed.
+    """Raised when the set of proxies has changed.
 
-    `index_in_zone` is this ingress's index among the `zone_ingresses` of its zone; -1: it isn't listed yet.
+    `index_in_zone` is this proxy's index among the `zone_ingresses` proxies of its zone; -1: not in the list
+    yet.
     """
 
     ingresses: int
--- a/gateway/proxy/foreign_load.py
+++ b/gateway/proxy/foreign_load.py
@@ -1,18 +1,18 @@
-"""The load of other ingresses at a backend: reported in its responses, estimated in between."""
+"""The load that other proxies cause at a backend: reported in its responses, and estimated in between."""
 
 from __future__ import annotations
 
 import math
 
-# Time constants of a reported load going back to the backend's mean, and of that going back to the one that
-# is usual for all backends.
+# Time constant with which a reported load decays to the backend's mean.
 REPORT_DECAY_S = 0.15
+# Time constant with which a backend's mean decays to the usual load of all backends.
 MEAN_DECAY_S = 8.0
-MEAN_STEP = 0.2  # by which a report moves the backend's mean
+MEAN_STEP = 0.2  # weight of a new report in the backend's mean
 
 
 class ForeignLoad:
-    """The number of requests of other ingresses at one backend."""
+    """The number of requests of other proxies at one backend."""
 
     __slots__ = ("mean", "reported", "reported_at")
 
@@ -22,15 +22,16 @@
         self.reported_at = 0.0
 
     def on_report(self, now: float, reported: float) -> None:
-        """Take a reported number of requests of other ingresses."""
+        """Apply a reported number of requests of other proxies."""
         self.reported = reported
         self.reported_at = now
         self.mean += MEAN_STEP * (reported - self.mean)
 
     def estimate(self, now: float, usual: float) -> float:
-        """The expected number now.
+        """The expected number of requests now.
 
-        The last report decays towards the backend's mean, and that towards `usual`, the mean of all backends.
+        The last report decays to the backend's mean, which in turn decays to `usual`, the mean of all
+        backends.
         """
         age = now - self.reported_at
         mean = usual + (self.mean - usual) * math.exp(-age / MEAN_DECAY_S)
@@ -38,9 +39,10 @@
 
 
 def expected_queue(own: int, foreign: float, slots: int) -> float:
-    """The expected number of requests queued before one more.
+    """The expected number of queued requests ahead of a new one.
 
-    There are `own` requests of this ingress, and a Poisson distributed number of others, of mean `foreign`.
+    The backend has `own` requests of this proxy and a Poisson distributed number of others with mean
+    `foreign`.
     """
     free_slots = slots - 1 - own
     expected = foreign - free_slots
--- a/gateway/proxy/ingress.py
+++ b/gateway/proxy/ingress.py
@@ -1,7 +1,4 @@
-"""The gateway's HTTP protocol towards clients and backends, on the shared ingress of `ingress.net`.
-
-Methods that override those of `ingress.net.ingress.Ingress` have its names.
-"""
+"""The gateway's HTTP protocol towards clients and backends, based on the shared ingress of `ingress.net`."""
 
 from __future__ import annotations
 
@@ -31,25 +28,26 @@
 from ingress.net.service_protocol import read_number
 from ingress.net.upstream import Upstream
 
-# Response headers that aren't passed on to clients.
+# Response headers that aren't forwarded to clients.
 DROPPED_RESPONSE_HEADERS = HOP_BY_HOP | {b"content-length", b"backend-load", b"not-executed", b"instance-id"}
 # Request headers that may occur only once.
 SINGLETON_HEADERS = frozenset((b"host", b"attempt-id", b"authorization", b"deadline-ms"))
-NOT_EXECUTED_STATUSES = (503, 429, 400)  # with which a backend may say that it hasn't executed a request
-# Statuses that promise to a client that its request never ran: only this ingress itself may give them.
+# May be used by a backend to report that it hasn't executed a request.
+NOT_EXECUTED_STATUSES = (503, 429, 400)
+# Statuses that promise to a client that its request never ran; only this proxy itself may send them.
 NEVER_RAN_STATUSES = (503, 429, 408, 421)
-LOAD_FIELDS = 3  # of the header `Backend-Load`
-TIMER_SLACK_S = 0.02  # by which a timer may be early by the event loop's clock
+LOAD_FIELDS = 3  # number of values in the header `Backend-Load`
+TIMER_SLACK_S = 0.02  # a timer may fire early by this much according to the event loop's clock
 RETRY_AFTER_HEADER = b"Retry-After: 0.3\r\n"
 MAX_DEADLINE_S = 3600.0
 MIN_RETRY_AFTER_S = 0.05
 MIN_QUOTA_RETRY_AFTER_S = 0.01
-LATE_RATIO = 0.8  # of its target latency, after which a retry is late, as it still takes some time itself
-TIMEOUT_DECAY = 0.01  # by which the longest timeout seen moves towards each shorter one
+LATE_RATIO = 0.8  # a retry is late after this part of the target latency, because it takes some time itself
+TIMEOUT_DECAY = 0.01  # weight of a shorter timeout in the moving maximum of timeouts
 
 
 class ProxyIngress(Ingress):
-    """The HTTP ingress of one proxy: request matching, headers, final answers, and its backends."""
+    """The HTTP ingress of one proxy: request matching, headers, final responses, and its backends."""
 
     health_path = None
     label = b"attempt-id"
@@ -66,19 +64,20 @@
         send: Callable[[Send], None],
         clock: Callable[[], float] = monotonic,
     ) -> None:
-        # These decisions handle and return more than the base class's own events and actions.
+        # These decisions handle and return more types than the base class's events and actions.
         super().__init__(loop, terms, decisions, upstream)  # type: ignore[arg-type]
         self.send = send
         self.steady_clock = clock
         self.refusals = decisions.refusals
-        self.movable = decisions.movable
+        self.may_move = decisions.may_move
         self.compiled_config: CompiledConfig | None = None
-        self.first_timeouts: dict[str, float] = {}  # by route: seconds that clients give a first attempt
+        # By route: timeout in seconds that clients allow for a first attempt.
+        self.first_timeouts: dict[str, float] = {}
         self.inspect: Callable[[bytes, bytes, bytes, RouteDecision], RouteDecision | None] | None = None
-        self.services: dict[str, str] = {}  # of known backends: the service's name by backend
+        self.services: dict[str, str] = {}  # name of the service by backend
 
     def now(self) -> float:
-        """Seconds of a steady clock: nothing here has to agree with the clocks of other nodes."""
+        """Seconds of a monotonic clock, because nothing here has to agree with the clocks of other nodes."""
         return self.steady_clock()
 
     # Requests of clients.
@@ -86,7 +85,7 @@
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]]
     ) -> io.Request | ImmediateResponse:
-        """Match a request and its key against the configuration; answer at once if it is not allowed."""
+        """Match a request and its key against the configuration; respond at once if it is not allowed."""
         if self.compiled_config is None:
             self.refusals.count(self.now(), "no configuration")
             return ImmediateResponse(503, "no configuration yet", lines=RETRY_AFTER_HEADER)
@@ -116,7 +115,7 @@
         tenant = route_decision.tenant
         self.effects[route.label] = io.Effect.SAFE if route.safe else io.Effect.UNSAFE
         self.objectives[route.label] = route.target_latency
-        is_late = self.late(route, timeout_s)
+        is_late = self.is_late_retry(route, timeout_s)
         return io.Request(
             name.decode(),
             route.label,
@@ -124,14 +123,14 @@
             0,
             min(timeout_s, route.deadline, MAX_DEADLINE_S),
             1.0,
-            about=RequestContext(route, tenant, route_decision.precedence, is_late),
+            context=RequestContext(route, tenant, route_decision.precedence, is_late),
         )
 
-    def late(self, route: Route, timeout_s: float) -> bool:
-        """Whether an attempt comes too long after its request's first one to meet the target latency.
+    def is_late_retry(self, route: Route, timeout_s: float) -> bool:
+        """Whether an attempt starts too long after its request's first attempt to meet the target latency.
 
-        Clients send what is left of their time (`timeout_s`); the longest one seen lately is taken as that of
-        a first attempt.
+        Clients send their remaining time (`timeout_s`). The longest one seen recently is assumed to be that
+        of a first attempt.
         """
         first = self.first_timeouts.get(route.label, timeout_s)
         first = max(timeout_s, first - TIMEOUT_DECAY * (first - timeout_s))
@@ -141,9 +140,10 @@
     # Requests to backends, and their responses.
 
     def message(self, call: ClientRequest, backend: str, timeout_s: float) -> bytes:
-        """The request as sent to a backend.
+        """The request as it is sent to a backend.
 
-        It is for this instance only, with its tenant's label, and with `timeout_s` as its deadline.
+        It is addressed to this instance only, and contains its tenant's label and `timeout_s` as its
+        deadline.
         """
         plan = call.request.plan
         tenant = b"Tenant: %s\r\n" % plan.encode() if plan else b""
@@ -155,14 +155,14 @@
     def outcome(self, call: ClientRequest, answer: Response) -> io.Outcome | None:
         """The outcome of an attempt by its response; None if that belongs to another request.
 
-        Only a response that says so was not executed; a success needs its seal, and every response the
-        request's attempt id, which only a 421 or a not-executed one may lack.
+        Only a response that says so was not executed. A success needs the backend's seal. Every response
+        needs the request's attempt id, except a 421 or a not-executed one, which may omit it.
         """
         attempt_id = answer.headers.get(b"attempt-id")
         is_matching = attempt_id == call.request.id.encode()
         may_match = is_matching or attempt_id is None
         if answer.status == HTTPStatus.MISDIRECTED_REQUEST and may_match:
-            return io.Outcome.CONNECT_FAILED  # another instance has this address now
+            return io.Outcome.CONNECT_FAILED  # another instance now has this address
         if answer.status in NOT_EXECUTED_STATUSES and b"not-executed" in answer.headers and may_match:
             return io.Outcome.FULL
         if not is_matching:
@@ -174,7 +174,7 @@
         return io.Outcome.ERROR if is_failure or is_unsealed_success else io.Outcome.OK
 
     def lines(self, answer: Response) -> bytes:
-        """All response headers except hop-by-hop ones and those that concern only the backend."""
+        """All response headers except hop-by-hop headers and those that concern only the backend."""
         return b"".join(
             b"%s: %s\r\n" % (name.title(), value)
             for name, value in answer.headers.items()
@@ -182,9 +182,9 @@
         )
 
     def load(self, answer: Response | None) -> dict[str, float]:
-        """The load by the header `Backend-Load`: requests running, requests waiting, slots.
+        """The load reported by the header `Backend-Load`: running requests, waiting requests, slots.
 
-        Empty unless it has these three parts.
+        The result is empty unless the header has these three values.
         """
         header = answer.headers.get(b"backend-load") if answer is not None else None
         if not header:
@@ -195,49 +195,49 @@
         running, waiting, slots = parts
         return {"inflight": running + waiting, "slots": slots}
 
-    # Final answers.
+    # Final responses.
 
     def execution_status(self, pending: PendingRequest) -> ExecutionStatus:
-        """What is known of a request's execution by backends."""
+        """What is known about a request's execution by backends."""
         if pending.last is not None and pending.may_have_run and is_server_error(pending.last.status):
             return ExecutionStatus.RAN
         sent = pending.may_have_run or (pending.exchange is not None and pending.exchange.may_have_run)
         return ExecutionStatus.MAY_HAVE_RAN if sent else ExecutionStatus.NEVER_RAN
 
     def waits_for_silent_backend(self, pending: PendingRequest) -> bool:
-        """Whether to wait on for a response whose backend has fallen silent.
+        """Whether to keep waiting for a response from an unresponsive backend.
 
-        Until the deadline if a part of it has been passed on, else if the request can't be moved to another
-        backend.
+        If part of the response has been forwarded, wait until the deadline. Otherwise wait only if the
+        request can't be moved to another backend.
         """
         if pending.flowing:
             return self.loop.time() < pending.deadline < math.inf
-        return not self.movable(self.now(), pending.call.request.id)
+        return not self.may_move(self.now(), pending.call.request.id)
 
     def cancels_when_gone(self, pending: PendingRequest) -> bool:
         """Whether a request is cancelled when its client disconnects.
 
-        Only a safe one is, as backends drop a request when its connection closes.
+        Only safe requests are, because backends drop a request when its connection closes.
         """
         return self.effects[pending.call.request.class_name] is io.Effect.SAFE
 
     def may_refuse(self, pending: PendingRequest) -> bool:
-        """Whether a refusal, which promises that the request never ran, may be given."""
+        """Whether a rejection, which promises that the request never ran, may be sent."""
         return self.execution_status(pending).allows_refusal
 
     def answer(self, pending: PendingRequest, status: int, lines: bytes = b"", body: bytes = b"") -> None:
-        """Give the one final answer.
+        """Send the final response.
 
-        A 408 for a request body that stalls becomes a 400 if a part of the body may have been sent to a
-        backend, as then nothing can be promised.
+        A 408 for a stalled request body becomes a 400 if part of the body may have been sent to a backend,
+        because the promise of a 408 would not hold.
         """
         may_have_run = status == HTTPStatus.REQUEST_TIMEOUT and not self.may_refuse(pending)
         super().answer(pending, HTTPStatus.BAD_REQUEST if may_have_run else status, lines, body)
 
-    def finish(self, name: str, refused: bool, wait: float) -> None:
-        """Give the final answer: a refusal with a time to retry (`wait`, in seconds) if it never ran.
+    def send_final_response(self, name: str, refused: bool, wait: float) -> None:
+        """Send the final response: a rejection if the request never ran, with `wait` as Retry-After.
 
-        Else the backend's own error, else 502, or 504 at the deadline.
+        Otherwise send the backend's own error or a 502, or a 504 at the deadline.
         """
         pending = self.pending.get(name)
         if pending is None:
@@ -261,7 +261,7 @@
             case RejectOverQuota():
                 self._reject_over_quota(a)
             case io.Refuse():
-                self._record_refusal(a.request, a.why)
+                self._record_refusal(a.request, a.reason)
                 super().carry_out(a)
             case _:
                 super().carry_out(a)
@@ -273,7 +273,7 @@
             self.answer(pending, HTTPStatus.TOO_MANY_REQUESTS, b"Retry-After: %.3f\r\n" % retry_after_s)
 
     def _record_refusal(self, request_id: str, reason: str) -> PendingRequest | None:
-        """Note the reason of a refusal in the request's history; the request, if it is still pending."""
+        """Add the reason of a rejection to a pending request's history; returns the request."""
         pending = self.pending.get(request_id)
         if pending is not None:
             pending.attempt_history.append((self.loop.time(), reason))
@@ -286,7 +286,7 @@
         self.submit(QuotaEvent(event))  # type: ignore[arg-type]
 
     def set_peers(self, me: str, zone: int, ingresses: Sequence[tuple[int, str]]) -> None:
-        """Set the zone number and address of all ingresses; this one (`me`) may not be among them yet."""
+        """Set the zone number and the address of all proxies; this one (`me`) may not be among them yet."""
         in_zone = [address for ingress_zone, address in ingresses if ingress_zone == zone]
         index_in_zone = in_zone.index(me) if me in in_zone else -1
         self.submit(PeersChanged(len(ingresses), index_in_zone, len(in_zone)))  # type: ignore[arg-type]
@@ -301,10 +301,10 @@
         capacity: int = 1,
         zone: str = "",
     ) -> None:
-        """A backend was added, changed or removed (`phase`).
+        """Handle an added, changed or removed backend (`phase`).
 
-        Its old connections are closed before anything new may be sent. `slow_start_left_s` is the rest of
-        its slow start.
+        Its old connections are closed before anything new is sent to it. `slow_start_left_s` is the remaining
+        time of its slow start.
         """
         if phase is io.Phase.DELETED:
             service = self.services.pop(name, service)
--- a/gateway/proxy/outputs.py
+++ b/gateway/proxy/outputs.py
@@ -1,4 +1,4 @@
-"""Outputs of `Decisions` besides those of `ingress.interface`."""
+"""Outputs of `Decisions` in addition to those of `ingress.interface`."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class RejectOverQuota(NamedTuple):
-    """Answer a request with 429, as its tenant is over its allowance; `reason` is for the log.
+    """Respond to a request with 429 because its tenant has exceeded its allowance.
 
-    `retry_after_s` is the time until the tenant has units again.
+    `reason` is logged; `retry_after_s` is the time until the tenant has units again.
     """
 
     request_id: str
--- a/gateway/proxy/refusals.py
+++ b/gateway/proxy/refusals.py
@@ -1,4 +1,4 @@
-"""Refused requests by cause: a log line for each second with any; one with many is a warning."""
+"""Counts rejected requests by cause, and logs one line for each second in which there were any."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 
 from gateway.quota.outputs import OVER_ALLOWANCE
 
-# A second is a warning with so many requests refused for other causes than their allowance,
+# A second is logged as a warning if at least this many requests, and at least this fraction of all requests,
+# were rejected for reasons other than their tenant's allowance.
 WARNING_MIN_COUNT = 5
-WARNING_MIN_RATIO = 0.25  # and so many of all requests
+WARNING_MIN_RATIO = 0.25
 
 log = logging.getLogger("gateway.proxy.refusals")
 
 
 class Refusals:
-    """Counts refused requests by cause in the current second. `now` is in seconds of a steady clock."""
+    """Counts rejected requests by cause in the current second; `now` is in seconds of a monotonic clock."""
 
     __slots__ = ("causes", "requests", "until")
 
@@ -25,17 +26,17 @@
         self.causes = Counter[str]()
 
     def request_received(self, now: float) -> None:
-        """Count a request received."""
+        """Count a received request."""
         self.roll_over(now)
         self.requests += 1
 
     def count(self, now: float, reason: str) -> None:
-        """Count a refused request, by cause."""
+        """Count a rejected request by its cause."""
         self.roll_over(now)
         self.causes[reason] += 1
 
     def roll_over(self, now: float) -> None:
-        """Log the second that has ended, at the first event after it."""
+        """Log the previous second at the first event after its end."""
         if now < self.until:
             return
         if self.causes:
--- a/gateway/proxy/request_context.py
+++ b/gateway/proxy/request_context.py
@@ -1,4 +1,4 @@
-"""What the configuration says about one request, and the priorities that follow from that."""
+"""The configuration that applies to one request, and the priorities derived from it."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 class RequestContext(NamedTuple):
     """The result of matching a request against the configuration.
 
-    `late`: a retry that comes too late to meet the target latency.
+    `is_late_retry` marks a retry that is too late to meet the target latency.
     """
 
     route: Route
     tenant: Tenant | None
     precedence: int
-    late: bool = False
+    is_late_retry: bool = False
 
     @property
     def quota_precedence(self) -> int:
-        """The precedence within its tenant's allowance, 0 the highest: by route, late requests behind."""
-        return 2 * self.route.precedence + self.late
+        """The precedence within the tenant's allowance (0 is the highest): by route, late retries last."""
+        return 2 * self.route.precedence + self.is_late_retry
 
     @property
     def queue_priority(self) -> float:
-        """The order in which queued requests go to backends, the greatest first.
+        """The order in which queued requests are sent to backends; the greatest value goes first.
 
-        By the request's precedence, then by its route's.
+        It is determined by the request's precedence, then by its route's precedence.
         """
         route_precedence = self.route.precedence
         return 1.0 / (1 + self.precedence + route_precedence / (1 + route_precedence))
--- a/gateway/proxy/retry_budget.py
+++ b/gateway/proxy/retry_budget.py
@@ -1,19 +1,19 @@
-"""The retry budget of a service: this ingress's part of the budget that all ingresses share."""
+"""The retry budget of a service: this proxy's part of the budget that is shared by all proxies."""
 
 from __future__ import annotations
 
 from collections import deque
 
-# Until a lower number of ingresses is accepted: the others may just be unreachable until then.
+# Delay before a lower number of proxies is applied, because the missing ones may just be unreachable.
 SHRINK_DELAY_S = 60.0
-# Without an increase, until the number of ingresses is accepted and the slack divided by it.
+# Once the number of proxies has not increased for this long, it is applied, and the slack is divided by it.
 GROWTH_SETTLE_S = 1.0
-SAFETY_FACTOR = 0.7  # of the allowed ratio that is used, as the other ingresses count by their own clocks
-USABLE_SLACK = 0.5  # of this process's part of the slack: its predecessor may have spent the rest
+SAFETY_FACTOR = 0.7  # used fraction of the allowed ratio, because other proxies count by their own clocks
+USABLE_SLACK = 0.5  # used fraction of this process's slack, because its predecessor may have spent the rest
 
 
 class SecondCounts:
-    """The attempts of one second."""
+    """The attempts within one second."""
 
     __slots__ = ("requests", "retries", "second")
 
@@ -24,12 +24,12 @@
 
 
 class RetryBudget:
-    """Retries to one service within a sliding window: a ratio of its requests here, plus a part of the slack.
+    """Limits the retries to one service in a sliding window to a ratio of its requests here, plus some slack.
 
-    `window` is in seconds. `slack` is a number of retries for all `ingresses` together; each process uses
-    half of its part, since after a restart it doesn't know what its predecessor has spent. Until the number
-    of ingresses is known and has stopped growing there is no slack: when all start at once, each learns of
-    the others one after the other.
+    `window` is in seconds. `slack` is a number of retries for all proxies together. Each process uses half of
+    its part, because after a restart it doesn't know what its predecessor has spent. There is no slack until
+    the number of proxies is known and has stopped growing, because proxies that start together discover each
+    other one by one.
     """
 
     __slots__ = (
@@ -51,14 +51,14 @@
         self.ingresses = ingresses
         self.shared_at: float | None = None
         self.grown_at = float("inf")
-        self.seconds: deque[SecondCounts] = deque()  # those in the window, with any attempts
+        self.seconds: deque[SecondCounts] = deque()  # seconds within the window that have any attempts
         self.requests = 0
         self.retries = 0
 
     def share_among(self, now: float, ingresses: int) -> None:
-        """Divide the slack among this number of ingresses.
+        """Divide the slack among this number of proxies.
 
-        A higher number counts at once, a lower one only after `SHRINK_DELAY_S`.
+        An increase is applied at once, a decrease only after `SHRINK_DELAY_S`.
         """
         if self.shared_at is None or ingresses > self.ingresses:
             self.grown_at = now
@@ -70,7 +70,7 @@
             self.shared_at = now
 
     def count(self, now: float, is_retry: bool) -> None:
-        """Count an attempt: a request's first one, or a retry."""
+        """Count an attempt, which is either a request's first one or a retry."""
         self._expire(now)
         second = int(now)
         if not self.seconds or self.seconds[-1].second != second:
@@ -83,7 +83,7 @@
             self.requests += 1
 
     def allows(self, now: float) -> bool:
-        """Whether one more retry stays within the budget."""
+        """Whether another retry is within the budget."""
         self._expire(now)
         slack = self.slack / self.ingresses if now >= self.grown_at + GROWTH_SETTLE_S else 0.0
         return self.retries + 1 <= self.ratio * self.requests + slack
--- a/gateway/runtime/http_listener.py
+++ b/gateway/runtime/http_listener.py
@@ -44,7 +44,7 @@
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]]
     ) -> io.Request | ImmediateResponse:
         """Accept any request head; method and URL are kept for `take`."""
-        return EMPTY_REQUEST._replace(about=(method.decode("latin-1"), url.decode("latin-1")))
+        return EMPTY_REQUEST._replace(context=(method.decode("latin-1"), url.decode("latin-1")))
 
     def take(self, call: ClientRequest, client: Client) -> None:
         """Pass on a complete call; it may be answered later."""
@@ -59,7 +59,7 @@
             if (caller := self.pending.pop(id(call), None)) is not None:
                 caller.reply(status, lines, body)
 
-        method, path = call.request.about
+        method, path = call.request.context
         self.answer(HttpCall(method, path, bytes(call.body)), reply)
 
     def gone(self, call: ClientRequest) -> None:
--- a/ingress/__main__.py
+++ b/ingress/__main__.py
@@ -219,12 +219,12 @@
     ingress.follow()
     await connect_to_quota_services(loop, config, ingress)
     if config.known is not None:
-        ingress.listed(config.known, saved=True)
+        ingress.apply_backend_list(config.known, saved=True)
     discovery = Discovery(
         loop,
         config.discovery,
         config.known.version if config.known else 0,
-        ingress.listed,
+        ingress.apply_backend_list,
         config.settings.instances,
         config.seed,
     )
--- a/ingress/customer.py
+++ b/ingress/customer.py
@@ -1,4 +1,4 @@
-"""The customers of one ingress: an estimate of each customer's token bucket, kept from counts and peers."""
+"""The customers of one ingress: an estimate of each customer's token bucket, from counts and peers."""
 
 from __future__ import annotations
 
@@ -9,44 +9,46 @@
 
 from ingress import interface as io
 
-ASSUMED_CARRYOVER = 0.8  # fraction of the burst taken as left over from a window of which nothing was seen
-EXCESS_S = 0.3  # after which a total's excess that no peer has reported was a charge that was added back
-LOCAL_SHARE_STEP = 0.2  # weight of a new total in a customer's local part
-RETENTION_WINDOWS = 6.0  # windows after which an idle customer is forgotten: its bucket has long been full
+ASSUMED_CARRYOVER = 0.8  # fraction of the burst assumed to be left over from a window without observations
+EXCESS_S = 0.3  # an excess of a total that no peer reports within this time was a charge that was reversed
+LOCAL_SHARE_STEP = 0.2  # weight of a new total in a customer's local fraction
+# Idle customers are removed after this many windows; their buckets have been full for long.
+RETENTION_WINDOWS = 6.0
 
 
 def mix(a: int, b: int) -> int:
-    """Hash two numbers to a 63-bit name, the same at every instance."""
+    """Hash two numbers to a 63-bit name that is the same at every ingress."""
     return int.from_bytes(hashlib.blake2b(f"{a} {b}".encode(), digest_size=8).digest()) >> 1
 
 
 class Customer:
     """One ingress's estimate of a customer's token bucket, corrected by totals of the shared counter.
 
-    `level` is in units, as of the time `level_at`; `length` is a window of the count in seconds.
+    `level` is the number of units at the time `level_at`; `length` is the length of a count's window in
+    seconds.
     """
 
     __slots__ = (
+        "admit_rate",
         "arrivals_at",
         "born",
         "cap_full_at",
-        "chance",
+        "carries_over",
         "counted",
         "counted_in",
         "excess",
         "excess_at",
         "first",
         "key",
-        "known",
         "length",
         "level",
         "level_at",
         "level_from_peer",
+        "local_fraction",
         "open_requests",
         "own_total",
         "own_total_sent",
         "own_units_in_total",
-        "part",
         "peer_totals",
         "peer_units",
         "peer_units_window",
@@ -70,46 +72,47 @@
         self.plan = plan
         self.width = 1
         self.length = plan.burst / plan.rate if plan.rate > 0 else 1.0
-        self.phase = mix(key, 0) / (1 << 63) * self.length  # customers' windows begin at different times
+        # The windows of customers begin at different times.
+        self.phase = mix(key, 0) / (1 << 63) * self.length
         self.window = -1
         self.total = 0.0
-        self.own_units_in_total = 0.0  # own units in the total
-        # units reported by peers, and in which window
+        self.own_units_in_total = 0.0  # own units contained in the total
+        # Units reported by peers, and the window they belong to.
         self.peer_units = 0.0
         self.peer_units_window = -1
-        # of the total over both, taken off the level; since when
+        # Part of the total beyond both, which was taken from the level, and the time of the last total.
         self.excess = 0.0
         self.excess_at = 0.0
-        # quarter units admitted here, and as last sent to peers
+        # Quarter units admitted here, in total and as last sent to peers.
         self.own_total = 0
         self.own_total_sent = 0
-        self.peer_totals: dict[int, int] = {}  # the same of each peer
-        # Without history the bucket counts as full; under a ceiling it holds what a full quota cannot have
-        # spent, so that a restart in a counter outage does not grant the ceiling twice.
+        self.peer_totals: dict[int, int] = {}  # the same total for each peer
+        # Without history the bucket is assumed to be full. With a rate limit, units that a full quota may
+        # have spent are subtracted, so that a restart during a counter outage does not grant the limit twice.
         spent = plan.rate / plan.limit_rate if plan.limit_rate > 0 else 0.0
         self.level = plan.burst * max(0.0, 1 - spent)
         self.level_at = now
         self.first = 0
         self.born = now
         self.seen = now
-        self.level_from_peer = False  # a peer has sent the level, as this ingress had just started
-        # own usage not yet counted, and charges without a verdict
+        self.level_from_peer = False  # a peer has sent the level because this ingress had just started
+        # Own usage that isn't counted yet, and charges without a verdict.
         self.pending = 0.0
         self.units_in_flight = 0.0
-        self.part = 0.0  # fraction of the customer's recent usage that came through here
-        # level carried over between windows; recent admission rate
-        self.known = True
-        self.chance = 1.0
-        self.open_requests = 0  # open here or about to be
-        # How many of them are counted, and in which window.
+        self.local_fraction = 0.0  # fraction of the customer's recent usage that arrived here
+        # Whether the level carries over between windows; recent admission rate.
+        self.carries_over = True
+        self.admit_rate = 1.0
+        self.open_requests = 0  # open here, or about to be
+        # The counted part of them, and the window of that count.
         self.counted = 0
         self.counted_in = -1
-        self.cap_full_at = -math.inf  # when a total last showed the cap to be full
-        # decaying count of recent requests, as of then
+        self.cap_full_at = -math.inf  # time of the last total that reached the cap
+        # Decaying count of recent requests, and its time.
         self.recent_arrivals = 0.0
         self.arrivals_at = now
-        self.unreported_arrivals = 0  # of them, not yet added to the count
-        # a second at all ingresses, by a total
+        self.unreported_arrivals = 0  # arrivals that haven't been added to the count
+        # Arrivals per second at all ingresses according to a total, and the weight of that estimate.
         self.rate = 0.0
         self.rate_part = 0.0
         self.rate_at = now
@@ -127,21 +130,21 @@
         return self.name(now).to_bytes(8)[:5]
 
     def available_units(self, now: float) -> float:
-        """Units in the bucket, less all that is known to have been admitted."""
-        if not self.known:  # a fixed window: no refill within it, the whole burst in the next
+        """Units in the bucket, reduced by everything that is known to have been admitted."""
+        if not self.carries_over:  # a fixed window: no refill within it, the complete burst in the next one
             return self.level if self.window_number(now) == self.window else self.plan.burst
         return min(self.plan.burst, self.level + self.plan.rate * (now - self.level_at))
 
     def use(self, now: float, units: float) -> None:
-        """Take admitted units off the level."""
-        if self.known:
+        """Take admitted units from the level."""
+        if self.carries_over:
             self.level = self.available_units(now) - units
             self.level_at = now
         else:
             self.level -= units
 
     def add_peer_usage(self, now: float, units: float) -> None:
-        """Take units admitted at a peer off the level, as far as no total has contained them already."""
+        """Take units admitted at a peer from the level, unless a total has already included them."""
         covered = min(max(0.0, self.excess), max(0.0, units))
         window = self.window_number(now)
         self.peer_units = units + (self.peer_units if self.peer_units_window == window else 0.0)
@@ -150,7 +153,7 @@
         self.use(now, units - covered)
 
     def expire_excess(self, now: float, total_is_covered: Callable[[float, Customer], bool]) -> None:
-        """Restore the excess of a total that no peer has reported: it was a charge that was added back."""
+        """Restore an excess that no peer has reported, because it was a charge that was reversed."""
         if self.excess > 0 and now - self.excess_at > EXCESS_S and total_is_covered(now, self):
             self.level = self.available_units(now) + self.excess
             self.level_at = now
@@ -165,26 +168,26 @@
         charge: float,
         total_is_covered: Callable[[float, Customer], bool],
     ) -> None:
-        """Correct the level by a total of `window`: its excess over known usage was admitted elsewhere.
+        """Correct the level by a total of `window`; its excess over known usage was admitted elsewhere.
 
-        `units` were added by the call, of which `charge` belongs to a request that is still undecided.
+        The call added `units`, of which `charge` belongs to a request that is still undecided.
         """
         has_gap = self.window < window - 1
-        if self.width > self.plan.burst and (has_gap or (self.window == window and not self.known)):
-            # Most ingresses have no history: each would assume a nearly full bucket in every window.
-            self.known = False
+        if self.width > self.plan.burst and (has_gap or (self.window == window and not self.carries_over)):
+            # Most ingresses have no history and would assume a nearly full bucket in every window.
+            self.carries_over = False
             self.window = window
             self.total = total
             self.level = self.plan.burst - total + charge
             self.level_at = now
             return
-        self.known = True
+        self.carries_over = True
         if self.window != window:
             self._open_window(now, window, total_is_covered(now, self))
         self.own_units_in_total = self.own_units_in_total + units
         self.total = total
         own_ratio = min(1.0, max(0.0, self.own_units_in_total) / max(total, 1e-9))
-        self.part += LOCAL_SHARE_STEP * (own_ratio - self.part)
+        self.local_fraction += LOCAL_SHARE_STEP * (own_ratio - self.local_fraction)
         peer_units = self.peer_units if self.peer_units_window == window else 0.0
         excess = max(0.0, total - self.own_units_in_total - peer_units)
         self.level = self.available_units(now) - (excess - self.excess)
@@ -193,9 +196,9 @@
         self.excess_at = now
 
     def _open_window(self, now: float, window: int, is_covered: bool) -> None:
-        """A total of another window has come; `is_covered`: peers report all usage in it."""
+        """Start another window; `is_covered` means that peers report all usage in it."""
         if self.window < window - 1 and not is_covered:
-            # No history here: a fraction of the burst is taken as carried over.
+            # Without history, a fraction of the burst is assumed to be carried over.
             since = now + self.phase - window * self.length
             self.level = ASSUMED_CARRYOVER * self.plan.burst + self.plan.rate * since
             self.level_at = now
@@ -208,25 +211,25 @@
 
 
 class Customers:
-    """All known customers; those idle for long are forgotten, as many come once and never again."""
+    """All known customers. Long idle ones are removed, because many customers never return."""
 
     def __init__(self, settings: io.Settings) -> None:
-        self.known = OrderedDict[int, Customer]()  # the longest idle first
+        self.by_key = OrderedDict[int, Customer]()  # in order of decreasing idle time
         lengths = (p.burst / p.rate for p in settings.plans if p.rate > 0)
         self.retention_s = RETENTION_WINDOWS * max(lengths, default=1.0)  # seconds
 
     def get_or_create(self, now: float, key: int, plan: io.PlanSettings) -> Customer:
-        """A customer, created if it isn't known."""
-        customer = self.known.get(key)
+        """Return a customer, which is created if necessary."""
+        customer = self.by_key.get(key)
         if customer is None:
-            customer = self.known[key] = Customer(key, plan, now)
+            customer = self.by_key[key] = Customer(key, plan, now)
         else:
-            self.known.move_to_end(key)
+            self.by_key.move_to_end(key)
         customer.seen = now
-        while (first := next(iter(self.known.values()))).seen < now - self.retention_s:
+        while (first := next(iter(self.by_key.values()))).seen < now - self.retention_s:
             if first.units_in_flight > 0 or first.open_requests > 0:
                 first.seen = now
-                self.known.move_to_end(first.key)
+                self.by_key.move_to_end(first.key)
             else:
-                del self.known[first.key]
+                del self.by_key[first.key]
         return customer
--- a/ingress/interface.py
+++ b/ingress/interface.py
@@ -1,4 +1,4 @@
-"""Settings, events and actions of the gateway's state machine. Times are in seconds."""
+"""Settings, events and actions of the ingress's state machine. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Effect(Enum):
-    """Whether a request may be repeated: always, for a time as backends deduplicate it by key, or never."""
+    """Whether a request may be repeated: always, for a limited time by its deduplication key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -18,7 +18,7 @@
 
 
 class Group(Enum):
-    """The backends that deduplicate a keyed request together."""
+    """The set of backends that deduplicate a keyed request together."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +26,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a health check or a counter call ended."""
+    """The result of an attempt, a health check or a counter call."""
 
     OK = "ok"
     ERROR = "error"
@@ -42,7 +42,7 @@
 
 
 class Phase(Enum):
-    """A backend's phase in the backend list."""
+    """The phase of a backend in the backend list."""
 
     RUNNING = "running"
     STOPPING = "stopping"
@@ -50,7 +50,7 @@
 
 
 class ListKind(Enum):
-    """What a `ListUpdate` holds: a change, the whole list, a saved copy, or nothing as the fetch failed."""
+    """The content of a `ListUpdate`: a change, the complete list, a saved copy, or a failed fetch."""
 
     CHANGE = "change"
     FULL = "whole"
@@ -73,8 +73,8 @@
 class ClassSettings:
     """One class of requests.
 
-    `objective` is the latency objective, `deadline` the hard limit, `worth` and `late_worth` what a request
-    earns in time and late, `window` how long a keyed request is deduplicated.
+    `objective` is the latency objective and `deadline` the hard limit. `worth` and `late_worth` are the value
+    of a response that is in time or late. `window` is the time for which a keyed request is deduplicated.
     """
 
     name: str
@@ -94,9 +94,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanSettings:
-    """One plan: quota (units a second, burst in units), limit (a second token bucket) and price.
+    """One plan: a quota (units per second, burst in units), a limit (a second token bucket) and a price.
 
-    A rate of 0 is no quota; `max_open` caps a customer's open requests, 0 is no cap.
+    A rate of 0 means no quota. `max_open` caps a customer's open requests; 0 means no cap.
     """
 
     name: str
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of a gateway. `instances` is the number of ingresses, `me` the index of this one."""
+    """All settings of an ingress. `instances` is the number of ingresses, `me` the index of this one."""
 
     classes: tuple[ClassSettings, ...]
     plans: tuple[PlanSettings, ...]
@@ -206,7 +206,7 @@
 
 
 class ListUpdate(NamedTuple):
-    """The backend list, or a change to it."""
+    """The backend list or a change of it."""
 
     kind: ListKind
     version: int
@@ -214,9 +214,9 @@
 
 
 class Request(NamedTuple):
-    """A client's request, which must get exactly one final answer.
+    """A client's request, which must get exactly one final response.
 
-    The customer's requests go to the `width` ingresses from number `first` on.
+    The customer's requests arrive at the `width` ingresses starting with number `first`.
     """
 
     id: str
@@ -229,12 +229,12 @@
     first: int = 0
     is_repeat: bool = False
     is_write: bool = False
-    flows: bool = False  # its body is still being received, and streamed to a backend
-    about: Any = None  # further protocol data, for decisions that know the protocol
+    streams_body: bool = False  # its body is still being received, and is streamed to a backend
+    context: Any = None  # further protocol data for decisions that know the protocol
 
 
 class AttemptStarted(NamedTuple):
-    """A streamed response has begun."""
+    """The response has started to be streamed."""
 
     request: str
     attempt: int
@@ -243,7 +243,7 @@
 
 
 class AttemptWritten(NamedTuple):
-    """The last byte of a streamed request was written: the backend may begin, its latency counts from now."""
+    """The last byte of a streamed request was written; the latency of the backend is measured from here."""
 
     request: str
     attempt: int
@@ -252,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended. `done`: the request has its final answer; `spent`: its body can't be resent."""
+    """The end of an attempt. `done`: the request has its response; `spent`: its body can't be resent."""
 
     request: str
     attempt: int
@@ -267,7 +267,7 @@
 
 
 class ClientGone(NamedTuple):
-    """The client has disconnected; no answer is owed any more."""
+    """The client has disconnected and needs no response."""
 
     request: str
 
@@ -280,7 +280,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """A health check has ended."""
+    """The result of a health check."""
 
     backend: str
     outcome: Outcome
@@ -289,14 +289,14 @@
 
 
 class PeerMessage(NamedTuple):
-    """A message from another instance."""
+    """A message from another ingress."""
 
     sender: int
     payload: bytes
 
 
 class CounterReply(NamedTuple):
-    """The reply to a counter call; `total` is valid with OK. ERROR: it was added, the total is unknown."""
+    """The reply to a counter call. OK: `total` is valid. ERROR: added, but the total is unknown."""
 
     name: int
     outcome: Outcome
@@ -305,27 +305,27 @@
 
 
 class Cordon(NamedTuple):
-    """An operator cordons a backend (`on`), or uncordons it."""
+    """An operator's request to cordon a backend (`on`) or to uncordon it."""
 
     backend: str
     on: bool
 
 
 class CordonEntry(NamedTuple):
-    """A cordoned backend: since when, and when it was uncordoned (0: it is cordoned), in Unix time."""
+    """A cordon in Unix time: its start, and its end (0 if the backend is still cordoned)."""
 
     since: float
     back: float = 0.0
 
 
 class Cordons(NamedTuple):
-    """All cordons. As an event: stored by another process of this ingress; as an action: to be stored."""
+    """All cordons; as an event: stored by another process of this ingress; as an action: to be stored."""
 
     cordon_entries: Mapping[str, CordonEntry]
 
 
 class SiblingProcesses(NamedTuple):
-    """How many other processes of this ingress are running: during an upgrade they share its traffic."""
+    """The number of other running processes of this ingress, which share its traffic during an upgrade."""
 
     processes: int
 
@@ -348,7 +348,7 @@
 
 
 class Attempt(NamedTuple):
-    """Send the request to a backend; `timeout` None: until the client gives up."""
+    """Send the request to a backend; a `timeout` of None means until the client gives up."""
 
     request: str
     backend: str
@@ -363,15 +363,15 @@
 
 
 class Refuse(NamedTuple):
-    """Final answer: refused, a retry is harmless after `retry_in` seconds."""
+    """Send a rejection as the final response; a retry is harmless after `retry_after_s` seconds."""
 
     request: str
-    retry_in: float = 0.0
-    why: str = ""  # for the log
+    retry_after_s: float = 0.0
+    reason: str = ""  # for the log
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, with no promise about a retry."""
+    """Send a failure as the final response, without any promise about a retry."""
 
     request: str
 
@@ -403,7 +403,7 @@
 
 
 class CounterAdd(NamedTuple):
-    """Add to a named count at the shared counter; a new name lives `lifetime` seconds."""
+    """Add to a named count at the shared counter; a new count expires after `lifetime` seconds."""
 
     name: int
     amount: float
@@ -417,17 +417,17 @@
 
 
 class FetchList(NamedTuple):
-    """Fetch the whole backend list once."""
+    """Fetch the complete backend list once."""
 
 
 class Log(NamedTuple):
-    """Write one line to the log."""
+    """Write a line to the log."""
 
     text: str
 
 
 class UnknownBackend(NamedTuple):
-    """The answer to a `Cordon` of a backend that doesn't exist."""
+    """The response to a `Cordon` for a backend that doesn't exist."""
 
     backend: str
 
--- a/ingress/net/discovery.py
+++ b/ingress/net/discovery.py
@@ -268,7 +268,9 @@
 
     def connect_to_source(self, address: Address, index: int | None) -> DiscoverySource:
         """Begin to watch an address, from this version on or (None) with the whole list."""
-        return DiscoverySource(self.loop, address, index, self.listed, Backoff(self.instances, self.rng))
+        return DiscoverySource(
+            self.loop, address, index, self.apply_backend_list, Backoff(self.instances, self.rng)
+        )
 
     def move(self, address: Address) -> None:
         """The discovery service's address has changed."""
@@ -278,7 +280,7 @@
             self.newest.task.cancel()
         self.newest = self.connect_to_source(address, None)
 
-    def listed(self, source: DiscoverySource, listing: Listing) -> None:
+    def apply_backend_list(self, source: DiscoverySource, listing: Listing) -> None:
         """Pass on a source's listing; with its first one, a new source takes over."""
         if source is self.newest:
             if source is not self.source:
--- a/ingress/net/http_messages.py
+++ b/ingress/net/http_messages.py
@@ -103,16 +103,16 @@
 
 
 class ResponseReader:
-    """Parses responses: complete ones, and with `flows`, large ones as streams (`head`, `take`, `done`).
+    """Parses complete responses and, with `streams_body`, large ones as streams (`head`, `take`, `done`).
 
-    A response that is ended by the connection's end is accepted only if its head or `ends` says so, and only
-    with `flows`. The data may be malformed at any point, also right after a valid response: complete ones are
-    returned first, and `broken` then is the reason why nothing more can be read here.
+    A response that is ended by the end of the connection is accepted only if its head or `ends` says so, and
+    only with `streams_body`. The data may be malformed at any point, also right after a valid response.
+    Complete responses are returned first; `broken` is then the reason why nothing more can be read.
     """
 
-    def __init__(self, flows: bool = False) -> None:
+    def __init__(self, streams_body: bool = False) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self.flows = flows
+        self.streams_body = streams_body
         self.ends = ResponseEnd()
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
@@ -209,7 +209,7 @@
         if status in EMPTY:
             return
         closes = self.ends.read_until_close or self.headers.get(b"connection", b"").lower() == b"close"
-        self.until_end = self.flows and closes and length is None and coding is None
+        self.until_end = self.streams_body and closes and length is None and coding is None
         if (length is None) == (coding is None) and not self.until_end:
             raise MalformedResponseError("expected one of content-length and transfer-encoding")
         if coding is not None and coding.lower() != b"chunked":
@@ -224,7 +224,7 @@
             MalformedResponseError: That isn't allowed, or the response exceeds `MAX_BODY`.
         """
         status = self.parser.get_status_code()
-        if not self.flows or status != HTTPStatus.OK or (length or 0) > MAX_BODY:
+        if not self.streams_body or status != HTTPStatus.OK or (length or 0) > MAX_BODY:
             raise MalformedResponseError("the body is too large")
         keep = self.parser.should_keep_alive() and not self.until_end
         self.head = Response(status, self.headers, b"", keep, length)
--- a/ingress/net/ingress.py
+++ b/ingress/net/ingress.py
@@ -97,9 +97,9 @@
             case io.Attempt():
                 self.attempt(action)
             case io.Refuse():
-                self.finish(action.request, True, action.retry_in)
+                self.send_final_response(action.request, True, action.retry_after_s)
             case io.Fail():
-                self.finish(action.request, False, 0.0)
+                self.send_final_response(action.request, False, 0.0)
             case io.CancelAttempt():
                 self._cancel_attempt(action)
             case io.SetTimer():
@@ -196,7 +196,7 @@
 
     # The list of backends.
 
-    def listed(self, listing: Listing, saved: bool = False) -> None:
+    def apply_backend_list(self, listing: Listing, saved: bool = False) -> None:
         """Apply a listing, or one `saved` by an earlier process.
 
         Old connections are closed before the decisions may send anything.
--- a/ingress/net/pending_requests.py
+++ b/ingress/net/pending_requests.py
@@ -57,7 +57,7 @@
             pending.timer = self.loop.call_at(pending.deadline, self.expire_request, pending)
         else:
             pending.deadline = math.inf  # until its last byte has been received
-        self.submit(r._replace(expires_in=max(0.0, left), flows=call.upload is not None))
+        self.submit(r._replace(expires_in=max(0.0, left), streams_body=call.upload is not None))
 
     def upload_received(self, call: ClientRequest) -> None:
         """The streamed body of a request is complete: its time limit runs from here on."""
@@ -116,7 +116,7 @@
         if not pending.answered:
             name = pending.call.request.id
             log.info("request %s: answered by the watchdog", name)
-            self.finish(name, self.may_refuse(pending), 0.0)
+            self.send_final_response(name, self.may_refuse(pending), 0.0)
             self.submit(io.ClientGone(name))
         self.forget(pending)
 
@@ -133,7 +133,7 @@
             or (effect is io.Effect.KEYED and self.groups[name] is io.Group.ALL)
         )
 
-    def finish(self, name: str, refused: bool, wait: float) -> None:
+    def send_final_response(self, name: str, refused: bool, wait: float) -> None:
         """Give the decisions' final response: 502, or if `refused`, 503 or 429.
 
         429 is for a `wait` in seconds until a quota has room again.
--- a/ingress/net/upstream.py
+++ b/ingress/net/upstream.py
@@ -27,7 +27,7 @@
         self.pool = pool
         self.sock = sock
         self.transport: asyncio.Transport | None = None
-        self.reader = ResponseReader(flows=True)
+        self.reader = ResponseReader(streams_body=True)
         self.exchange: Exchange | None = None
         self.idle_since = 0.0
         self.closed = False
--- a/ingress/wire_messages.py
+++ b/ingress/wire_messages.py
@@ -220,7 +220,7 @@
 ACTION_FORMATTERS: dict[type, Callable[[int, Any], str]] = {
     io.Attempt: _format_attempt,
     io.CounterAdd: _format_counter_call,
-    io.Refuse: lambda me, a: f"DECLINE {me} {a.request} {_format_number(a.retry_in)}",
+    io.Refuse: lambda me, a: f"DECLINE {me} {a.request} {_format_number(a.retry_after_s)}",
     io.Fail: lambda me, a: f"FINISH_ERROR {me} {a.request}",
     io.SetTimer: lambda me, a: f"DEFER {me} {a.delay:.6f} {a.token}",
     io.CancelAttempt: lambda me, a: f"DROP_ATTEMPT {me} {a.request} {a.attempt}",
--- a/simulation/model/client_attempts.py
+++ b/simulation/model/client_attempts.py
@@ -85,7 +85,7 @@
         self.machine = machine
         self.slot = slot
         self.end: TcpEndpoint | None = None
-        self.reader = ResponseReader(flows=True)
+        self.reader = ResponseReader(streams_body=True)
         self.current: ClientAttempt | None = None
         self.open = False
 
--- a/simulation/model/injected_bugs.py
+++ b/simulation/model/injected_bugs.py
@@ -39,8 +39,8 @@
     request = decisions.request
 
     def unlimited(now: float, received: io.Request) -> None:
-        about = received.about
-        request(now, received._replace(about=about._replace(tenant=None) if about.tenant else about))
+        context = received.context
+        request(now, received._replace(context=context._replace(tenant=None) if context.tenant else context))
 
     decisions.request = unlimited
 
@@ -60,10 +60,10 @@
     def safe(*args: Any) -> Any:
         request = read(*args)
         if isinstance(request, io.Request):
-            old = request.about.route
+            old = request.context.route
             route = Route(old.entry)
             route.safe = True
-            request = request._replace(about=request.about._replace(route=route))
+            request = request._replace(context=request.context._replace(route=route))
         return request
 
     proxy_node.ingress.read = safe
--- a/tests/gateway/programs/test_control_api.py
+++ b/tests/gateway/programs/test_control_api.py
@@ -399,7 +399,7 @@
         desk = HttpCallHandler(asyncio.get_running_loop(), lambda http_call, reply: replies.append(reply))
 
         def call() -> ClientRequest:
-            return ClientRequest(EMPTY_REQUEST._replace(about=("PUT", CONFIG)), b"", b"", 0.0)
+            return ClientRequest(EMPTY_REQUEST._replace(context=("PUT", CONFIG)), b"", b"", 0.0)
 
         early = call()
         desk.take(early, Caller())  # type: ignore[arg-type]
--- a/tests/gateway/programs/test_control_connections.py
+++ b/tests/gateway/programs/test_control_connections.py
@@ -156,7 +156,7 @@
     """Answers to whoever waits on the connection by then, and to whichever beat came last."""
 
     def careless(self: Any, call: Any, client: Any) -> None:
-        method, path = call.request.about
+        method, path = call.request.context
         self.answer(HttpCall(method, path, bytes(call.body)), client.reply)
 
     def newest(self: Any, token: Any) -> None:
--- a/tests/gateway/proxy/proxy_fixture.py
+++ b/tests/gateway/proxy/proxy_fixture.py
@@ -175,12 +175,12 @@
         what = ANY_NUMBER.sub(r"\1(n)", what)
         self.said.append(f"{who:6} {what}")
 
-    async def start(self, *acts: Act, backends: int = 1, configured: bool = True) -> Client:
+    async def start(self, *actions: Act, backends: int = 1, configured: bool = True) -> Client:
         """Listen, with backends `i1` on in service, which do this as they are met, one after the other, and
         then the last for ever. Returns a client's connection."""
         if configured:
             self.ingress.compiled_config = compiled_config()
-        turns = list(acts)
+        turns = list(actions)
         for name in [f"i{n + 1}" for n in range(backends)]:
             self.peers[name] = await Peer(self.acting(name, turns)).listen()
             self.ingress.backend(name, "s1", (HOST, self.peers[name].port), io.Phase.RUNNING, 0.0)
--- a/tests/gateway/proxy/test_precedence.py
+++ b/tests/gateway/proxy/test_precedence.py
@@ -27,7 +27,7 @@
 def test_a_nomination_goes_before_a_view_whatever_the_tenants_own_precedence() -> None:
     nomination, view = SimpleNamespace(precedence=1), SimpleNamespace(precedence=2)
     ranks = [
-        RequestContext(route, None, precedence=0, late=late).quota_precedence  # type: ignore[arg-type]
+        RequestContext(route, None, precedence=0, is_late_retry=late).quota_precedence  # type: ignore[arg-type]
         for route in (nomination, view)
         for late in (False, True)
     ]
@@ -36,16 +36,16 @@
 
 def test_a_try_is_late_once_its_client_has_used_up_most_of_its_aim() -> None:
     here, route = proxy_ingress(), route_of(0.4)
-    assert not ProxyIngress.late(here, route, 2.5)  # nothing else is known yet
-    assert not ProxyIngress.late(here, route, 2.2)  # a third of a second later: still in time
-    assert ProxyIngress.late(here, route, 2.1)
-    assert not ProxyIngress.late(here, route, 2.5)
+    assert not ProxyIngress.is_late_retry(here, route, 2.5)  # nothing else is known yet
+    assert not ProxyIngress.is_late_retry(here, route, 2.2)  # a third of a second later: still in time
+    assert ProxyIngress.is_late_retry(here, route, 2.1)
+    assert not ProxyIngress.is_late_retry(here, route, 2.5)
 
 
 def test_one_client_with_more_time_than_others_makes_these_late_for_a_while_only() -> None:
     here, route = proxy_ingress(), route_of(0.4)
-    ProxyIngress.late(here, route, 4.0)
-    late = [ProxyIngress.late(here, route, 2.5) for _ in range(200)]
+    ProxyIngress.is_late_retry(here, route, 4.0)
+    late = [ProxyIngress.is_late_retry(here, route, 2.5) for _ in range(200)]
     assert late[0] and not late[-1]
 
 
@@ -56,8 +56,8 @@
     service.send(0.0, in_flight(service, "busy", 1.0))
     for name, of_route, of_tenant in requests:
         precedence = of_route if of_tenant is None else of_tenant
-        about = RequestContext(SimpleNamespace(precedence=of_route), None, precedence)  # type: ignore[arg-type]
-        service.send(0.0, in_flight(service, name, about.queue_priority))
+        context = RequestContext(SimpleNamespace(precedence=of_route), None, precedence)  # type: ignore[arg-type]
+        service.send(0.0, in_flight(service, name, context.queue_priority))
     names = [f.req.id for f in service.queue]
     assert len(names) == len(requests)
     return names
@@ -87,10 +87,10 @@
     service = one_slot()
     service.send(0.0, in_flight(service, "busy", 1.0))
     service.send(0.0, in_flight(service, "urgent", 1.0))
-    first = service.acts.pop()
+    first = service.actions.pop()
     service.active_requests.pop("busy")
     # It ended, and nobody was sent on yet.
-    service.limit.in_flight, service.fleet.backends[first.backend].out = 0, {}
+    service.limit.in_flight, service.fleet.backends[first.backend].in_flight = 0, {}
     service.send(0.0, in_flight(service, "newcomer", 0.5))
-    assert [a.request for a in service.acts] == ["urgent"]
+    assert [a.request for a in service.actions] == ["urgent"]
     assert [f.req.id for f in service.queue] == ["newcomer"]
--- a/tests/gateway/proxy/test_proxy.py
+++ b/tests/gateway/proxy/test_proxy.py
@@ -52,7 +52,7 @@
     """What is asked, and what backends do in the order in which they are met, then the last for ever."""
 
     asks: list[bytes]
-    acts: list[Act]
+    actions: list[Act]
     backends: int = 1
     terms: dict[str, Any] = {}
     configured: bool = True
@@ -103,7 +103,7 @@
 
     async def main() -> None:
         plane = ProxyFixture(**story.terms)
-        client = await plane.start(*story.acts, backends=story.backends, configured=story.configured)
+        client = await plane.start(*story.actions, backends=story.backends, configured=story.configured)
         for raw in story.asks:
             await plane.ask(raw, client)
         assert "\n".join(plane.said) == snapshot
@@ -194,7 +194,7 @@
         assert await plane.ask(asked(name="a2"), client) == 503
         service.send = send  # type: ignore[method-assign]
         assert await plane.ask(asked(name="a3"), client) == 200
-        assert not plane.ingress.pending and "sending request a2 on" in caplog.text
+        assert not plane.ingress.pending and "could not forward request a2" in caplog.text
 
     run(main())
 
--- a/tests/gateway/proxy/test_proxy_startup.py
+++ b/tests/gateway/proxy/test_proxy_startup.py
@@ -23,8 +23,8 @@
 
 def flight(name: str, cls: io.ClassSettings) -> ActiveRequest:
     """A request that has just been let in."""
-    about: Any = SimpleNamespace(route=SimpleNamespace(tries=1))
-    request = io.Request(name, cls.name, "t1", 0, cls.deadline, 1.0, about=about)
+    context: Any = SimpleNamespace(route=SimpleNamespace(tries=1))
+    request = io.Request(name, cls.name, "t1", 0, cls.deadline, 1.0, context=context)
     return ActiveRequest(request, cls, Customer(0, io.PlanSettings("t1", 0.0, 0.0), 0.0), 0.0)
 
 
@@ -35,7 +35,7 @@
     s = Service("s1", terms, RetryBudget(0.2, 9.0, 10.0, INGRESSES), random.Random(1), 0.0, give_up)
     for n in range(BACKENDS):
         entry = io.BackendEntry(f"b{n:02}", io.Phase.RUNNING, 4.0, zone="z1")
-        s.listed(0.0, io.ListUpdate(io.ListKind.CHANGE, 0, (entry,)))
+        s.apply_backend_list(0.0, io.ListUpdate(io.ListKind.CHANGE, 0, (entry,)))
     return s
 
 
@@ -46,7 +46,7 @@
     s.learn_route(cls, 2.0, "t1")
     for n in range(40):
         s.send(0.0, flight(f"r{n}", cls))
-    assert (len(s.acts), len(refused)) == (6 * BACKENDS // INGRESSES, 0)
+    assert (len(s.actions), len(refused)) == (6 * BACKENDS // INGRESSES, 0)
 
 
 def test_a_bad_second_is_a_warning_with_all_causes(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/gateway/proxy/test_silent_backend.py
+++ b/tests/gateway/proxy/test_silent_backend.py
@@ -87,14 +87,14 @@
     s.learn_route(cls, 2.0, "t1")
     s.budget.share_among(0.0, 1)
     f: Any = flight("r1", cls)
-    f.req.about.route.tries = 2
+    f.req.context.route.tries = 2
     s.active_requests["r1"] = f
     s.send(0.0, f)
-    backend = s.acts[0].backend
+    backend = s.actions[0].backend
     others = [b for b in s.fleet.backends if b != backend]
     for name in others[left - 1 :]:
         entry = io.BackendEntry(name, io.Phase.DELETED, 4.0, zone="z1")
-        s.listed(0.0, io.ListUpdate(io.ListKind.CHANGE, 0, (entry,)))
-    s.acts = []
+        s.apply_backend_list(0.0, io.ListUpdate(io.ListKind.CHANGE, 0, (entry,)))
+    s.actions = []
     s.sweep(30.0)
-    assert len([a for a in s.acts if isinstance(a, io.CancelAttempt)]) == cancelled
+    assert len([a for a in s.actions if isinstance(a, io.CancelAttempt)]) == cancelled
--- a/tests/ingress/socket_rig.py
+++ b/tests/ingress/socket_rig.py
@@ -257,7 +257,7 @@
 
     async def start(self, **backends: int) -> Client:
         """Listen, with these backends in the list; returns a client's connection."""
-        self.ingress.listed(listing(*(entry(name, port) for name, port in backends.items())))
+        self.ingress.apply_backend_list(listing(*(entry(name, port) for name, port in backends.items())))
         await self.server.listen(HOST, 0)
         assert self.server.listener is not None
         self.port = self.server.listener.sockets[0].getsockname()[1]
--- a/tests/ingress/test_admission.py
+++ b/tests/ingress/test_admission.py
@@ -28,9 +28,9 @@
 
 def test_one_add_of_the_told_units_then_sent():
     g = GatewayDriver()
-    acts = g.ask(units=3.0)
-    assert only(acts, io.CounterAdd).amount == 3.0
-    only(acts, io.Attempt)
+    actions = g.ask(units=3.0)
+    assert only(actions, io.CounterAdd).amount == 3.0
+    only(actions, io.Attempt)
 
 
 def test_at_the_allowance_admitted_over_it_refused_and_added_back():
@@ -39,10 +39,10 @@
     name = only(first, io.CounterAdd).name
     only(first, io.Attempt)
     g.gw.call_policy.calls_per_request = 0.0  # no refusal without a call
-    acts = g.ask(units=1.0)
-    assert [a.amount for a in some(acts, io.CounterAdd)] == [1.0, -1.0]
-    only(acts, io.Refuse)
-    assert not some(acts, io.Attempt)
+    actions = g.ask(units=1.0)
+    assert [a.amount for a in some(actions, io.CounterAdd)] == [1.0, -1.0]
+    only(actions, io.Refuse)
+    assert not some(actions, io.Attempt)
     assert g.counts[name] == 8.0
 
 
@@ -79,7 +79,7 @@
     g = GatewayDriver()
     for k in range(20):
         g.ask(customer=k)
-    phases = {round(c.phase, 6) for c in g.gw.customers.known.values()}
+    phases = {round(c.phase, 6) for c in g.gw.customers.by_key.values()}
     assert len(phases) == 20
 
 
@@ -120,7 +120,7 @@
     before = g.gw.call_policy.misses
     serve(g, g.ask(units=1.0))
     assert g.gw.call_policy.misses > before
-    assert g.gw.customers.known[7].pending == pytest.approx(1.0)
+    assert g.gw.customers.by_key[7].pending == pytest.approx(1.0)
 
 
 def test_silent_counter_holds_a_request_only_until_its_call_ends():
@@ -135,7 +135,7 @@
 def test_a_hurried_request_does_not_wait_for_the_counter():
     g = GatewayDriver()
     g.counter = "silent"
-    g.gw.latency["read"] = g.gw.base["read"] = 0.02
+    g.gw.latency["read"] = g.gw.unloaded_latency["read"] = 0.02
     only(g.ask(expires=0.1), io.Attempt)
 
 
@@ -157,15 +157,15 @@
     # Timed-out adds on a crowded counter were taken as counted and leaked past the ceiling.
     g = GatewayDriver()
     g.counter = "timeout"
-    acts = g.ask(units=1.0, plan="plus", width=2)
-    assert some(acts, io.Attempt)
-    assert g.gw.customers.known[7].pending == pytest.approx(1.0)  # told again, as it may not have counted
+    actions = g.ask(units=1.0, plan="plus", width=2)
+    assert some(actions, io.Attempt)
+    assert g.gw.customers.by_key[7].pending == pytest.approx(1.0)  # told again, as it may not have counted
     # Between the quota and the ceiling each of two may use 0.3 of what the store holds, alone 0.8 of it.
     for alone, units in ((False, 6.0), (True, 16.0)):
         g.gw.call_policy.misses = OUTAGE_MISSES if alone else 0
         for more, kind in ((0.1, io.Refuse), (-0.1, io.Attempt)):
             g.now += 100.0  # full again
-            g.gw.customers.known[7].pending, g.gw.customers.known[7].part = 0.0, 1.0
+            g.gw.customers.by_key[7].pending, g.gw.customers.by_key[7].local_fraction = 0.0, 1.0
             g.gw.call_policy.call_share = 0.0
             only(g.ask(units=units + more, plan="plus", width=2), kind)
 
@@ -211,8 +211,8 @@
     g.counter = "silent"
     call = only(g.ask(), io.CounterAdd)
     g.give(io.ClientGone("r1"))
-    acts = g.give(io.CounterReply(call.name, io.Outcome.OK, 0.001, 1.0))
-    assert not some(acts, io.Attempt) and not some(acts, io.Refuse)
+    actions = g.give(io.CounterReply(call.name, io.Outcome.OK, 0.001, 1.0))
+    assert not some(actions, io.Attempt) and not some(actions, io.Refuse)
 
 
 def test_without_history_most_of_a_burst_is_carried_over_but_not_all():
@@ -220,7 +220,7 @@
     g = GatewayDriver()
     g.gw.call_policy.calls_per_request = 0.0
     sent = sum(serve(g, g.ask(units=1.0)) for _ in range(20))
-    into = (g.now + g.gw.customers.known[7].phase) % g.gw.customers.known[7].length
+    into = (g.now + g.gw.customers.by_key[7].phase) % g.gw.customers.by_key[7].length
     assert 0.5 * PLAN.burst < sent <= min(PLAN.burst, 0.8 * PLAN.burst + PLAN.rate * into)
 
 
@@ -259,9 +259,9 @@
     for _ in range(400):
         for units in calls:
             g.gw.call_policy.call_share = 0.25
-            acts = g.ask(units=units, customer=g.n, plan="plus", width=4)  # its share holds one unit
-            g.end(only(acts, io.Attempt))
-            calls[units] += len(some(acts, io.CounterAdd))
+            actions = g.ask(units=units, customer=g.n, plan="plus", width=4)  # its share holds one unit
+            g.end(only(actions, io.Attempt))
+            calls[units] += len(some(actions, io.CounterAdd))
     assert calls[4.0] == 400 and calls[1.0] < 50  # no verdict of the counter is needed for those
     g.gw.call_policy.call_share, g.gw.call_policy.misses = (
         0.0,
@@ -278,8 +278,8 @@
     assert sent == 100  # an unseen customer is most often calm
     sent = 0
     for k in range(1000, 1200):
-        g.gw.customers.known[k] = Customer(k, PLAN, g.now)
-        g.gw.customers.known[k].chance = 0.3
+        g.gw.customers.by_key[k] = Customer(k, PLAN, g.now)
+        g.gw.customers.by_key[k].admit_rate = 0.3
         sent += serve(g, g.ask(customer=k, width=300))
     assert 30 <= sent <= 90  # those that totals refused of late go on at their chance
 
@@ -303,9 +303,9 @@
     other = GatewayDriver(instances=300, peers=True)
     other.gw.call_policy.call_share = 0.9
     other.give(io.PeerMessage(3, told.payload))
-    acts = other.ask(units=1.0, width=300)
-    only(acts, io.Refuse)
-    assert not some(acts, io.CounterAdd)
+    actions = other.ask(units=1.0, width=300)
+    only(actions, io.Refuse)
+    assert not some(actions, io.CounterAdd)
     other.now += 8 * PLAN.burst / PLAN.rate  # another window
     assert not some(other.ask(units=1.0, width=300), io.Refuse)
 
@@ -333,9 +333,9 @@
     g = GatewayDriver(backends=1)
     g.gw.limit.slots, g.gw.latency["read"] = 1.0, 5.0
     g.ask(customer=1)
-    acts = g.ask(customer=2)
-    only(acts, io.Refuse)
-    assert not some(acts, io.CounterAdd)
+    actions = g.ask(customer=2)
+    only(actions, io.Refuse)
+    assert not some(actions, io.CounterAdd)
 
 
 def test_who_comes_again_soon_unseen_is_let_in_less():
@@ -360,17 +360,17 @@
     i.now += i.gw.customers.retention_s + 1
     i.ask(customer=3)
     i.ask(customer=9)
-    assert list(i.gw.customers.known) == [3, 9]
+    assert list(i.gw.customers.by_key) == [3, 9]
     for customer in range(10, 20):  # none is dropped while it is heard of
         i.now += i.gw.customers.retention_s / 4
         for known in (3, 9, customer):
             i.ask(customer=known)
-    assert {3, 9, 19} <= set(i.gw.customers.known) and 10 not in i.gw.customers.known
+    assert {3, 9, 19} <= set(i.gw.customers.by_key) and 10 not in i.gw.customers.by_key
     i.counter = "silent"
     i.ask(customer=30)
     i.now += 2 * i.gw.customers.retention_s
     i.ask(customer=31)
-    assert set(i.gw.customers.known) == {30, 31}  # a call without its answer keeps its customer
+    assert set(i.gw.customers.by_key) == {30, 31}  # a call without its answer keeps its customer
 
 
 def test_windows_that_are_used_up_are_forgotten_though_some_are_told_of_again():
@@ -394,9 +394,9 @@
     only(g.give(io.CounterReply(name, io.Outcome.ERROR, 0.001, 0.0)), io.Attempt)
     g.gw.call_policy.calls_per_request = 0.0  # no refusal without a call
     only(g.ask(units=2.0), io.CounterAdd)
-    acts = g.give(io.CounterReply(name, io.Outcome.ERROR, 0.001, 0.0))  # 10 of 8: refused and added back
-    only(acts, io.Refuse)
-    assert only(acts, io.CounterAdd).amount == -2.0 and g.gw.call_policy.misses == 0
+    actions = g.give(io.CounterReply(name, io.Outcome.ERROR, 0.001, 0.0))  # 10 of 8: refused and added back
+    only(actions, io.Refuse)
+    assert only(actions, io.CounterAdd).amount == -2.0 and g.gw.call_policy.misses == 0
 
 
 class IngressGroup:
@@ -419,15 +419,15 @@
             told = some(node.give(io.TimerFired(control.GOSSIP_TIMER)), io.SendPeerMessage)
             for other in self.nodes:
                 for t in told:
-                    if other is not node and node.gw.s.me != lost:
-                        other.give(io.PeerMessage(node.gw.s.me, t.payload))
+                    if other is not node and node.gw.settings.me != lost:
+                        other.give(io.PeerMessage(node.gw.settings.me, t.payload))
 
     def later(self, seconds: float) -> None:
         for node in self.nodes:
             node.now += seconds
 
     def levels(self, customer: int = 7) -> list[float]:
-        return [n.gw.customers.known[customer].available_units(n.now) for n in self.nodes]
+        return [n.gw.customers.by_key[customer].available_units(n.now) for n in self.nodes]
 
 
 def test_peers_know_of_what_is_let_in_elsewhere_without_a_call():
@@ -445,16 +445,16 @@
     for customer in range(50):
         serve(s.nodes[0], s.nodes[0].ask(units=1.0, width=3, customer=customer))
     s.tell()
-    assert list(s.nodes[1].gw.customers.known) == list(range(gossip.USAGE_ENTRIES_MAX))
+    assert list(s.nodes[1].gw.customers.by_key) == list(range(gossip.USAGE_ENTRIES_MAX))
     s.tell()
-    assert list(s.nodes[1].gw.customers.known) == list(range(50))
+    assert list(s.nodes[1].gw.customers.by_key) == list(range(50))
 
 
 def test_what_a_total_and_a_peer_both_tell_counts_once():
     s = IngressGroup()
     serve(s.nodes[0], s.nodes[0].ask(units=3.0, width=3))
     serve(s.nodes[1], s.nodes[1].ask(units=1.0, width=3))  # the total says 4, and no peer has told yet
-    assert s.nodes[1].gw.customers.known[7].available_units(s.nodes[1].now) == pytest.approx(4.0)
+    assert s.nodes[1].gw.customers.by_key[7].available_units(s.nodes[1].now) == pytest.approx(4.0)
     s.tell()
     assert s.levels() == [pytest.approx(4.0)] * 3
 
@@ -475,7 +475,7 @@
     s = IngressGroup()
     serve(s.nodes[0], s.nodes[0].ask(units=4.0, width=3))
     s.tell()
-    s.nodes[0].gw.customers.known.clear()
+    s.nodes[0].gw.customers.by_key.clear()
     s.later(2.0)
     serve(s.nodes[0], s.nodes[0].ask(units=1.0, width=3))
     s.tell()
@@ -560,7 +560,7 @@
     only(g.ask(units=3.0), io.CounterAdd)
     g.beat(3.0)
     only(g.log, io.Refuse)
-    assert g.gw.customers.known[7].pending == pytest.approx(-3.0)
+    assert g.gw.customers.by_key[7].pending == pytest.approx(-3.0)
 
 
 @pytest.mark.parametrize(
@@ -576,9 +576,9 @@
 def test_what_a_peer_cannot_mean_changes_nothing(payload):
     g = GatewayDriver(peers=True, instances=3, peer_in_per_s=100.0)
     serve(g, g.ask(units=1.0))
-    before = g.gw.customers.known[7].available_units(g.now)
+    before = g.gw.customers.by_key[7].available_units(g.now)
     g.give(io.PeerMessage(1, payload))
-    assert g.gw.customers.known[7].available_units(g.now) == before
+    assert g.gw.customers.by_key[7].available_units(g.now) == before
 
 
 def test_a_fleet_that_begins_at_once_leaves_the_counter_room():
--- a/tests/ingress/test_attempts.py
+++ b/tests/ingress/test_attempts.py
@@ -18,8 +18,8 @@
 @pytest.mark.parametrize("outcome", RAN)
 def test_unsafe_that_may_have_run_is_failed_never_resent_or_refused(outcome):
     g = GatewayDriver()
-    acts = g.end(only(g.ask("once"), io.Attempt), outcome)
-    assert isinstance(finals(acts)[0], io.Fail) and not some(acts, io.Attempt)
+    actions = g.end(only(g.ask("once"), io.Attempt), outcome)
+    assert isinstance(finals(actions)[0], io.Fail) and not some(actions, io.Attempt)
 
 
 @pytest.mark.parametrize("outcome", NOT_RUN)
@@ -38,8 +38,8 @@
     only(g.end(first, io.Outcome.ERROR), io.Attempt)
     late = only(g.ask("pay"), io.Attempt)
     g.now += 1.01
-    acts = g.end(late, io.Outcome.ERROR)
-    assert not some(acts, io.Attempt) and len(finals(acts)) == 1
+    actions = g.end(late, io.Outcome.ERROR)
+    assert not some(actions, io.Attempt) and len(finals(actions)) == 1
 
 
 def test_keyed_stays_in_its_group_and_is_failed_not_refused():
@@ -47,16 +47,16 @@
     first = only(g.ask("zoned"), io.Attempt)
     second = only(g.end(first, io.Outcome.ERROR), io.Attempt)
     assert int(second.backend[1]) % 2 == int(first.backend[1]) % 2
-    acts = g.end(second, io.Outcome.ERROR, n=1) + g.beat(3)
-    assert isinstance(finals(acts)[0], io.Fail) and not some(acts, io.Attempt)
+    actions = g.end(second, io.Outcome.ERROR, n=1) + g.beat(3)
+    assert isinstance(finals(actions)[0], io.Fail) and not some(actions, io.Attempt)
 
 
 def test_one_final_answer_and_nothing_after_it():
     g = GatewayDriver()
     first = only(g.ask("once"), io.Attempt)
-    acts = g.end(first, io.Outcome.TIMEOUT, elapsed=6.0)
+    actions = g.end(first, io.Outcome.TIMEOUT, elapsed=6.0)
     g.give(io.ClientGone("r1"))
-    assert len(finals(acts)) == 1
+    assert len(finals(actions)) == 1
     assert not finals(g.beat(2.0))
 
 
@@ -65,18 +65,18 @@
     g = GatewayDriver()
     first = only(g.ask(expires=0.6), io.Attempt)
     g.now += 0.6
-    acts = g.end(first, io.Outcome.TIMEOUT, elapsed=0.6)
-    assert not some(acts, io.Attempt) and len(finals(acts)) == 1
+    actions = g.end(first, io.Outcome.TIMEOUT, elapsed=0.6)
+    assert not some(actions, io.Attempt) and len(finals(actions)) == 1
 
 
 def test_attempts_stop_at_the_limit():
     g = GatewayDriver(backends=9, max_attempts=3)
-    acts = g.ask()
+    actions = g.ask()
     n = 0
-    while some(acts, io.Attempt):
-        acts = g.end(only(acts, io.Attempt), io.Outcome.CONNECT_FAILED, n=n)
+    while some(actions, io.Attempt):
+        actions = g.end(only(actions, io.Attempt), io.Outcome.CONNECT_FAILED, n=n)
         n += 1
-    assert n == 3 and len(finals(acts)) == 1
+    assert n == 3 and len(finals(actions)) == 1
 
 
 @pytest.mark.parametrize("phase", [io.Phase.STOPPING, io.Phase.DELETED])
@@ -99,20 +99,20 @@
 def test_no_backend_still_gives_the_one_answer_in_time():
     g = GatewayDriver(backends=2)
     g.give(io.ListUpdate(io.ListKind.FULL, 2, ()))
-    acts = g.ask("once") + g.beat(2.0)
-    assert isinstance(finals(acts)[0], io.Refuse) and len(finals(acts)) == 1
+    actions = g.ask("once") + g.beat(2.0)
+    assert isinstance(finals(actions)[0], io.Refuse) and len(finals(actions)) == 1
 
 
 def test_held_requests_behind_a_blocked_one_are_answered_too():
     # The look at what is held once stopped at the first blocked request and lost those behind it.
     g = GatewayDriver(backends=1)
     g.gw.limit.slots = 1.0
-    acts = []
+    actions = []
     for k in range(6):
-        acts += g.ask(["pay", "read"][k % 2], customer=k)
-    acts += g.beat(2.0)
-    assert len(some(acts, io.Attempt)) == 1
-    assert len(finals(acts)) == 5
+        actions += g.ask(["pay", "read"][k % 2], customer=k)
+    actions += g.beat(2.0)
+    assert len(some(actions, io.Attempt)) == 1
+    assert len(finals(actions)) == 5
 
 
 def test_dearest_goes_first_when_a_slot_comes_free():
@@ -143,8 +143,8 @@
     g = GatewayDriver(backends=4)
     bad, out = 0, []
     for k in range(200):
-        acts = g.ask("once", customer=k)
-        for a in some(acts, io.Attempt):
+        actions = g.ask("once", customer=k)
+        for a in some(actions, io.Attempt):
             if a.backend == "b2":
                 bad += 1
                 g.end(a, io.Outcome.ERROR, elapsed=0.001)
@@ -167,7 +167,7 @@
                 g.end(a)
         moved += some(g.beat(0.1), io.CancelAttempt)
     assert stuck is not None and stuck.request in {c.request for c in moved}
-    assert g.gw.fleet.backends[stuck.backend].trial
+    assert g.gw.fleet.backends[stuck.backend].on_trial
 
 
 def rounds(g: GatewayDriver, number: int, gap: float) -> list[io.Action]:
@@ -204,7 +204,7 @@
 def test_unsafe_is_never_the_trial_of_an_ejected_backend():
     g = GatewayDriver(backends=2)
     b = g.gw.fleet.backends["b0"]
-    b.trial, b.resting = True, 0.0
+    b.on_trial, b.ejected_until = True, 0.0
     for k in range(5):
         a = only(g.ask("once", customer=k), io.Attempt)
         assert a.backend == "b1"
@@ -215,16 +215,16 @@
     g = GatewayDriver(backends=4)
     for b in g.gw.fleet.backends.values():
         g.gw.fleet.eject(g.now, b, "failing")
-    assert sum(g.now < b.resting for b in g.gw.fleet.backends.values()) == 2
+    assert sum(g.now < b.ejected_until for b in g.gw.fleet.backends.values()) == 2
 
 
 def test_an_ejected_backend_comes_back_after_a_good_trial():
     g = GatewayDriver(backends=1)
     b = g.gw.fleet.backends["b0"]
-    b.trial, b.resting = True, g.now + 1.0
+    b.on_trial, b.ejected_until = True, g.now + 1.0
     g.now += 1.1
     g.end(only(g.ask(), io.Attempt))
-    assert not b.trial
+    assert not b.on_trial
 
 
 def test_a_jam_from_the_start_is_not_taken_for_the_norm():
@@ -234,7 +234,7 @@
     for k in range(120):
         for a in some(g.ask(customer=k), io.Attempt):
             g.end(a, elapsed=1.8)
-    assert g.gw.base["read"] <= 0.5 and g.gw.limit.slots < before
+    assert g.gw.unloaded_latency["read"] <= 0.5 and g.gw.limit.slots < before
 
 
 def test_overload_recovers_once_answers_are_fast_again():
@@ -300,22 +300,26 @@
     b = g.gw.fleet.backends[a.backend]
     g.now += 6.0
     g.end(a, io.Outcome.TIMEOUT, elapsed=6.0)
-    assert b.errors == 0.0 and b.answered == 100.0
+    assert b.error_rate == 0.0 and b.last_response_at == 100.0
 
 
 def test_keyed_by_cell_has_nowhere_else_to_go_once_it_may_have_run():
     celled = io.ClassSettings("celled", io.Effect.KEYED, 2.0, 6.0, group=io.Group.CELL, window=1.0)
     g = GatewayDriver(backends=4, classes=(celled,))  # each backend is a cell of its own
-    acts = g.end(only(g.ask("celled"), io.Attempt), io.Outcome.ERROR) + g.beat(3)
-    assert isinstance(finals(acts)[0], io.Fail) and not some(acts, io.Attempt) and len(finals(acts)) == 1
+    actions = g.end(only(g.ask("celled"), io.Attempt), io.Outcome.ERROR) + g.beat(3)
+    assert (
+        isinstance(finals(actions)[0], io.Fail)
+        and not some(actions, io.Attempt)
+        and len(finals(actions)) == 1
+    )
 
 
 def test_nothing_breaks_without_a_counter_or_load_reports_or_cancel():
     g = GatewayDriver(counter=False, may_cancel=False)
     for k in range(5):
-        acts = g.ask(customer=k)
-        assert not some(acts, io.CounterAdd)
-        g.end(only(acts, io.Attempt))
+        actions = g.ask(customer=k)
+        assert not some(actions, io.CounterAdd)
+        g.end(only(actions, io.Attempt))
     stuck = only(g.ask(customer=9), io.Attempt)
     assert not some(g.beat(5.0), io.CancelAttempt)
     g.end(stuck, io.Outcome.TIMEOUT, elapsed=6.0)
@@ -358,10 +362,10 @@
     g.gw.limit.slots = before = 6.0
     tries = []
     for k in range(30):
-        acts, n = g.ask("once", customer=k), 0
-        while sent := some(acts, io.Attempt):
+        actions, n = g.ask("once", customer=k), 0
+        while sent := some(actions, io.Attempt):
             out = io.Outcome.FULL if sent[0].backend in ("b0", "b1") else io.Outcome.OK
-            acts, n = g.end(sent[0], out, n=n), n + 1
+            actions, n = g.end(sent[0], out, n=n), n + 1
         tries.append(n)
     assert sum(tries[-10:]) <= 12 and g.gw.limit.slots >= before
 
@@ -370,17 +374,17 @@
     # In a jam each 'full' went on to the next full backend, five attempts a request, and the jam stayed.
     g = GatewayDriver(backends=4)
     g.gw.limit.latency_ratio = 4.0
-    acts = g.end(only(g.ask(), io.Attempt), io.Outcome.FULL)
-    assert not some(acts, io.Attempt) and len(finals(acts)) == 1
+    actions = g.end(only(g.ask(), io.Attempt), io.Outcome.FULL)
+    assert not some(actions, io.Attempt) and len(finals(actions)) == 1
 
 
 def test_requests_turned_away_do_not_raise_what_a_cold_backend_may_take():
     # Attempts answered 'full' counted as work that warm backends take, and a cold one was pushed over.
     g = GatewayDriver(backends=4)
     for k in range(20):
-        acts, n = g.ask(customer=k), 0
-        while sent := some(acts, io.Attempt):
-            acts, n = g.end(sent[0], io.Outcome.FULL, n=n), n + 1
+        actions, n = g.ask(customer=k), 0
+        while sent := some(actions, io.Attempt):
+            actions, n = g.end(sent[0], io.Outcome.FULL, n=n), n + 1
     assert g.gw.rate == 0.0
 
 
--- a/tests/ingress/test_concurrency_cap.py
+++ b/tests/ingress/test_concurrency_cap.py
@@ -24,7 +24,7 @@
     only(b.ask(plan="full"), io.Attempt)
     for g in (a, b):
         refused = only(g.ask(plan="full"), io.Refuse)
-        assert refused.retry_in > 0
+        assert refused.retry_after_s > 0
     only(b.ask(plan="full", customer=8), io.Attempt)
     a.end(first)
     only(b.ask(plan="full"), io.Attempt)
@@ -95,8 +95,8 @@
     for customer in range(50):
         only(g.ask(plan="full", customer=customer), io.Attempt)
         g.gw.call_policy.call_share = 0.25
-        acts = g.ask(plan="full", customer=customer)
-        only(acts, io.CounterAdd)
+        actions = g.ask(plan="full", customer=customer)
+        only(actions, io.CounterAdd)
         for a in some(g.log, io.Attempt)[-2:]:
             g.end(a)
 
@@ -133,13 +133,13 @@
     calls = asked = 0
     for n, g in enumerate(fleet):
         g.gw.call_policy.call_share = 0.05
-        acts = g.ask(plan="full", customer=n, width=40)
-        if some(acts, io.CounterAdd):
+        actions = g.ask(plan="full", customer=n, width=40)
+        if some(actions, io.CounterAdd):
             asked += 1
             continue
         g.counter = "silent"
-        acts += g.beat(0.1) + g.end(only(acts, io.Attempt)) + g.beat(0.1)
-        calls += len(some(acts, io.CounterAdd))
+        actions += g.beat(0.1) + g.end(only(actions, io.Attempt)) + g.beat(0.1)
+        calls += len(some(actions, io.CounterAdd))
     assert asked < 10 and calls == 0
 
 
@@ -161,9 +161,9 @@
         g = fleet[n * 17 % 40]
         g.now, g.counter = 100.0 + n * every, "timeout"
         g.gw.latency["read"] = 0.15
-        acts = g.ask(plan="full", width=40)
+        actions = g.ask(plan="full", width=40)
         asked += 1
-        for a in some(acts, io.Attempt):
+        for a in some(actions, io.Attempt):
             sent += 1
             g.end(a, elapsed=0.15)
     return sent / asked
@@ -184,10 +184,10 @@
         g.now, g.counts = 100.0 + n * 0.03, fleet[0].counts
         g.give(io.TimerFired(RELEASE_TIMER))
         g.gw.latency["read"], g.gw.call_policy.call_share = 0.15, 0.5
-        acts = g.ask(plan="full", width=40)
-        if not some(acts, io.CounterAdd):
-            unseen, sent = unseen + 1, sent + len(some(acts, io.Attempt))
-        for a in some(acts, io.Attempt):
+        actions = g.ask(plan="full", width=40)
+        if not some(actions, io.CounterAdd):
+            unseen, sent = unseen + 1, sent + len(some(actions, io.Attempt))
+        for a in some(actions, io.Attempt):
             g.end(a, elapsed=0.15)
     assert unseen > 200 and sent < 0.25 * unseen
 
@@ -229,9 +229,9 @@
             g.now += 0.25
             g.gw.latency["read"], g.gw.call_policy.call_share = 0.15, 0.2
             g.give(io.TimerFired(RELEASE_TIMER))
-            acts = g.ask(plan="full", customer=n % customers, width=40)
-            calls += len(some(acts, io.CounterAdd))
-            for a in some(acts, io.Attempt):
+            actions = g.ask(plan="full", customer=n % customers, width=40)
+            calls += len(some(actions, io.CounterAdd))
+            for a in some(actions, io.Attempt):
                 g.end(a, elapsed=0.15)
         return calls
 
@@ -245,10 +245,10 @@
     g = GatewayDriver(plans=(plan,), instances=40)
     for _ in range(400):
         g.gw.call_policy.call_share = 0.2
-        acts = g.ask(plan="full", width=40)
-        for a in some(acts, io.Attempt):
+        actions = g.ask(plan="full", width=40)
+        for a in some(actions, io.Attempt):
             g.end(a, elapsed=0.15)
-        assert len(some(acts, io.Attempt)) + len(some(acts, io.Refuse)) == 1
+        assert len(some(actions, io.Attempt)) + len(some(actions, io.Refuse)) == 1
     sent = len(some(g.log, io.Attempt))
     assert 0 < sent < 400 if most < 300 else sent == 400
 
--- a/tests/ingress/test_cordon.py
+++ b/tests/ingress/test_cordon.py
@@ -38,10 +38,10 @@
 def test_a_backend_out_by_hand_gets_nothing_whatever_the_list_says_until_it_is_put_back():
     g = GatewayDriver(backends=2)
     assert backends_used(g) == {"b0", "b1"}
-    acts = g.give(io.Cordon("b0", True))
+    actions = g.give(io.Cordon("b0", True))
     assert (
-        only(acts, io.Cordons).cordon_entries == {"b0": io.CordonEntry(g.now)}
-        and only(acts, io.CloseIdle).backend == "b0"
+        only(actions, io.Cordons).cordon_entries == {"b0": io.CordonEntry(g.now)}
+        and only(actions, io.CloseIdle).backend == "b0"
     )
     assert backends_used(g) == {"b1"} and g.gw.members(g.now) == (2, 1)
     relist(g, phase=io.Phase.STOPPING)
@@ -262,7 +262,7 @@
 def test_a_list_in_use_knows_its_backends():
     async def main():
         rig = IngressRig(in_turn("b0"))
-        rig.ingress.listed(listing(entry("b0", 1)))
+        rig.ingress.apply_backend_list(listing(entry("b0", 1)))
         assert rig.server.ready()
 
     run(main())
--- a/tests/ingress/test_flow.py
+++ b/tests/ingress/test_flow.py
@@ -291,7 +291,7 @@
             client.writer.write(post(f"r{n}", LARGE * 3, chunk))
             assert (await client.answer())[0] == 200
         assert backend.got == [LARGE * 3] * 2 and not rig.ingress.pending
-        assert [e.flows for e in rig.script.events if isinstance(e, io.Request)] == [True, True]
+        assert [e.streams_body for e in rig.script.events if isinstance(e, io.Request)] == [True, True]
         assert len([e for e in rig.script.events if isinstance(e, io.AttemptWritten)]) == 2
         assert rig.ingress.statistics.totals["upstream_requests"] == 2
 
@@ -499,7 +499,7 @@
         assert (await client.answer())[0] == 200
         slow.writer.write(body[-1:])
         assert (await slow.answer())[0] == 200
-        assert [(e.id, e.flows) for e in rig.script.events if isinstance(e, io.Request)] == [
+        assert [(e.id, e.streams_body) for e in rig.script.events if isinstance(e, io.Request)] == [
             ("second", True),
             ("slow", False),
         ]
@@ -516,9 +516,9 @@
 
 def test_a_body_on_its_way_is_no_work_yet_and_time_runs_from_its_end():
     g = Driven(backends=1)
-    a = only(g.give(io.Request("u1", "once", "basic", 7, 6.0, 1.0, 2, flows=True)), io.Attempt)
+    a = only(g.give(io.Request("u1", "once", "basic", 7, 6.0, 1.0, 2, streams_body=True)), io.Attempt)
     assert g.gw.limit.in_flight == 0
-    assert not some(g.beat(30.0), io.CancelAttempt) and not g.gw.fleet.backends["b0"].resting
+    assert not some(g.beat(30.0), io.CancelAttempt) and not g.gw.fleet.backends["b0"].ejected_until
     g.give(io.AttemptWritten("u1", 0, "b0"))
     assert g.gw.limit.in_flight == 1 and g.gw.active_requests["u1"].due_at == g.now + 2.0
     g.end(a)
@@ -527,7 +527,7 @@
 
 def test_a_body_that_is_gone_is_not_tried_again():
     g = Driven(backends=3)
-    a = only(g.give(io.Request("u1", "once", "basic", 7, 6.0, 1.0, 2, flows=True)), io.Attempt)
+    a = only(g.give(io.Request("u1", "once", "basic", 7, 6.0, 1.0, 2, streams_body=True)), io.Attempt)
     first = io.AttemptEnded("u1", 0, a.backend, io.Outcome.CONNECT_FAILED, 0.1, False)
     b = only(g.give(first), io.Attempt)
     end = io.AttemptEnded("u1", 1, b.backend, io.Outcome.CONNECT_FAILED, 0.1, False, spent=True)
@@ -539,7 +539,7 @@
     a = only(g.ask(), io.Attempt)
     g.now += 0.2
     g.give(io.AttemptStarted(a.request, 0, a.backend, 0.2))
-    assert g.gw.limit.in_flight == 0 and not g.gw.fleet.backends[a.backend].out
+    assert g.gw.limit.in_flight == 0 and not g.gw.fleet.backends[a.backend].in_flight
     assert not some(g.beat(30.0), io.CancelAttempt)
     assert g.gw.members(g.now) == (2, 0)
     g.end(a, elapsed=30.0)
--- a/tests/ingress/test_ingress.py
+++ b/tests/ingress/test_ingress.py
@@ -53,7 +53,7 @@
         before = unix()
         client = await rig.start()
         started = int(before * 1000) - 4000
-        rig.ingress.listed(listing(entry("b0", backend.port, since_ms=started)))
+        rig.ingress.apply_backend_list(listing(entry("b0", backend.port, since_ms=started)))
         await client.ask(call())
         assert all(before <= t <= unix() for t in rig.script.times)
         born = rig.script.events[1].entries[0].born
@@ -195,7 +195,9 @@
 
         async def open_late(pool, exchange):
             if pool.backend == "b0":
-                rig.ingress.listed(listing(entry("b0", draining.port, "DRAINING"), snapshot=False))
+                rig.ingress.apply_backend_list(
+                    listing(entry("b0", draining.port, "DRAINING"), snapshot=False)
+                )
             await real(pool, exchange)
 
         rig.upstream.open = open_late
@@ -214,7 +216,7 @@
         client = await rig.start(b0=backend.port)
         await client.ask(call("r1"))
         gone = listing(entry("b0", backend.port, state), snapshot=False) if state else listing(index=2)
-        rig.ingress.listed(gone)
+        rig.ingress.apply_backend_list(gone)
         assert (await client.ask(call("r2")))[0] == 503
         assert len(backend.seen) == 1 and rig.script.ends()[-1].outcome is io.Outcome.NOT_SENT
 
@@ -240,8 +242,8 @@
         backend = await Peer.start()
         rig = IngressRig(in_turn("b0"))
         await rig.start(b0=backend.port)
-        rig.ingress.listed(listing(entry("b0", backend.port, "DRAINING"), snapshot=False))
-        rig.ingress.listed(listing(index=2))
+        rig.ingress.apply_backend_list(listing(entry("b0", backend.port, "DRAINING"), snapshot=False))
+        rig.ingress.apply_backend_list(listing(index=2))
         assert not rig.upstream.pools
 
     run(main())
--- a/tests/ingress/test_server.py
+++ b/tests/ingress/test_server.py
@@ -295,7 +295,7 @@
         client = await rig.start()
         health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
         assert (await client.ask(health))[0] == 503
-        rig.ingress.listed(listing(entry("b0", backend.port)))
+        rig.ingress.apply_backend_list(listing(entry("b0", backend.port)))
         assert (await client.ask(health))[0] == 200
 
     run(main())
--- a/tests/ingress/test_services.py
+++ b/tests/ingress/test_services.py
@@ -378,7 +378,9 @@
         old.lines.put_nowait(text(43))
         assert [(x.version, x.is_full) for x in got] == [(42, False), (5, True), (6, False)]
         assert [s.line.split(" ")[1] for s in agent.seen] == ["/v1/servers", "/v1/servers?stream=1&index=5"]
-        discovery.listed(object(), got[0])  # whatever is neither the present nor the newest says nothing
+        discovery.apply_backend_list(
+            object(), got[0]
+        )  # whatever is neither the present nor the newest says nothing
         assert len(got) == 3
 
     run(main())
--- a/tests/ingress/test_upstream.py
+++ b/tests/ingress/test_upstream.py
@@ -148,7 +148,7 @@
         client = await rig.start(b0=backend.port)
         client.writer.write(call())
         await until(lambda: backend.seen)
-        rig.ingress.listed(listing(entry("b0", backend.port, since_ms=5000), snapshot=False))
+        rig.ingress.apply_backend_list(listing(entry("b0", backend.port, since_ms=5000), snapshot=False))
         assert len(rig.upstream.connections) == 1
         rig.upstream.close()
         await until(backend.seen[0].ended)
@@ -320,7 +320,7 @@
         await one.ask(call("idle"))
         await until(lambda: len(backend.seen) == 2)
         new = entry("b0", backend.port, since_ms=5000) if change == "start" else entry("b0", moved.port)
-        rig.ingress.listed(listing(new, snapshot=False))
+        rig.ingress.apply_backend_list(listing(new, snapshot=False))
         gate.set()
         assert (await two.answer())[0] == 200  # what was out is waited for
         for seen in backend.seen:
