--- a/gateway/config/changes.py
+++ b/gateway/config/changes.py
@@ -1,6 +1,6 @@
 """Decisions on configuration changes (PUT and PATCH), and the encoding of the replicated value.
 
-The value holds the configuration in force and the history of accepted changes, by which retries are known.
+The value contains the configuration in force and the history of accepted changes, used to recognize retries.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from gateway.config.errors import MalformedStateError
 from gateway.config.schema import ConfigError
 
-MAX_REMEMBERED_CHANGES = 1024  # length of the history: ten hours at 2,400 changes a day
-MAX_CONFIG_BYTES = 64 * 1024 * 1024  # of an uncompressed configuration
+MAX_REMEMBERED_CHANGES = 1024  # number of changes in the history: ten hours at 2,400 changes per day
+MAX_CONFIG_BYTES = 64 * 1024 * 1024  # maximum size of an uncompressed configuration
 COMPRESSION_LEVEL = 3
 METHODS = ("PUT", "PATCH")
 
-FORMAT = 2  # of the encoded value, its first byte
-# Format, length of the history, generation of the newest change dropped from it.
+FORMAT = 2  # version of the encoding, stored in the first byte
+# Format, number of changes in the history, generation of the newest change dropped from it.
 HEAD = struct.Struct(">BHQ")
 CHANGE_RECORD = struct.Struct(">QQ")  # fingerprint and generation
 
-FORMAT_1 = 1  # the older format, without generations
-HEAD_1 = struct.Struct(">BB")  # format and length of the history
+FORMAT_1 = 1  # the previous format, without generations
+HEAD_1 = struct.Struct(">BB")  # format and number of changes in the history
 CHANGE_RECORD_1 = struct.Struct(">Q")  # fingerprint
 MAX_REMEMBERED_CHANGES_1 = 64
 
@@ -40,7 +40,7 @@
     """The state in force: a configuration (None before the first) and the last accepted changes, newest last.
 
     `accepted` maps the fingerprint of each accepted change (over method, generation and content) to its
-    generation. It has all accepted changes with a generation above `forgotten_generation`.
+    generation. It contains all accepted changes with a generation above `forgotten_generation`.
     """
 
     __slots__ = ("accepted", "document", "forgotten_generation")
@@ -57,11 +57,11 @@
 
     @property
     def generation(self) -> int:
-        """The generation of the configuration in force; 0 for none."""
+        """The generation of the configuration in force; 0 if there is none."""
         return self.document.generation if self.document else 0
 
     def document_body(self) -> bytes:
-        """The body that answers a GET: the full configuration as JSON; empty if there is none."""
+        """The body of the response to a GET: the full configuration as JSON; empty if there is none."""
         return self.document.encode() if self.document else b""
 
     def with_change(self, document: Document, change: int) -> ConfigState:
@@ -73,7 +73,7 @@
         return ConfigState(document, accepted, forgotten)
 
     def encode(self) -> bytes:
-        """The value to be replicated: format, history of changes, and the compressed configuration."""
+        """Encode the value to be replicated: format, history of changes, and the compressed configuration."""
         history = b"".join([CHANGE_RECORD.pack(*change) for change in self.accepted.items()])
         head = HEAD.pack(FORMAT, len(self.accepted), self.forgotten_generation)
         return head + history + zlib.compress(self.document_body(), COMPRESSION_LEVEL)
@@ -94,7 +94,7 @@
         if value[0] == FORMAT:
             state.accepted = dict(CHANGE_RECORD.iter_unpack(value[HEAD.size : start]))
             state.forgotten_generation = HEAD.unpack_from(value)[2]
-        else:  # generations rise, so these are upper bounds
+        else:  # generations increase, so these are upper bounds
             changes = [change for (change,) in CHANGE_RECORD_1.iter_unpack(value[HEAD_1.size : start])]
             oldest = state.generation - len(changes)
             state.accepted = {change: max(0, oldest + n) for n, change in enumerate(changes, 1)}
@@ -104,7 +104,7 @@
 
 
 def without_history(value: bytes) -> bytes:
-    """A replicated value without its history, for proxies.
+    """Remove the history from a replicated value, for proxies.
 
     Raises:
         MalformedStateError: The value is invalid.
@@ -118,10 +118,10 @@
     head = HEAD if is_current else HEAD_1
     record = CHANGE_RECORD if is_current else CHANGE_RECORD_1
     if value[0] not in (FORMAT, FORMAT_1) or len(value) < head.size:
-        raise MalformedStateError("not a value of orders")
+        raise MalformedStateError("not a replicated configuration value")
     start: int = head.size + record.size * head.unpack_from(value)[1]
     if len(value) < start:
-        raise MalformedStateError("not a value of orders")
+        raise MalformedStateError("not a replicated configuration value")
     return start
 
 
@@ -132,7 +132,7 @@
     except zlib.error as error:
         raise MalformedStateError(f"packed configuration: {error}") from error
     if not decompressor.eof:
-        raise MalformedStateError("packed configuration is cut off or too large")
+        raise MalformedStateError("packed configuration is truncated or too large")
     if not body:
         return None
     document = documents.parse(body, previous)
@@ -142,10 +142,10 @@
 
 
 class Decision(NamedTuple):
-    """HTTP status and body of the answer to a change.
+    """HTTP status and body of the response to a change.
 
-    `config_state` has to be committed before the answer is sent; None: nothing changes. `base_is_ahead`: the
-    change's base may still be in flight, so the answer may be different a little later.
+    `config_state` must be committed before the response is sent; None means that nothing changes.
+    `base_is_ahead` means that the change's base may still be in flight, so a retry may get another response.
     """
 
     status: int
@@ -157,9 +157,9 @@
 def decide(state: ConfigState, method: str, body: bytes) -> Decision:
     """Decide on a PUT or PATCH of the configuration in force.
 
-    A retry of an accepted change gets 200, whatever was accepted since. Otherwise another base gets 412, and
-    an invalid configuration 400 with the errors. A change so old that it may have been accepted and dropped
-    from the history gets 503: its outcome is unknown.
+    A retry of an accepted change gets 200, whatever has been accepted since. Otherwise a change with another
+    base gets 412, and an invalid configuration 400 with the errors. A change that is so old that it may have
+    been accepted and dropped from the history gets 503, because its result is unknown.
     """
     if method not in METHODS:
         return _rejection(HTTPStatus.METHOD_NOT_ALLOWED, [ConfigError("", "expected PUT or PATCH")])
@@ -192,7 +192,7 @@
 
 
 def _other_base(state: ConfigState, generation: int | None, base_version: int) -> Decision:
-    """The decision on a change that doesn't build on the configuration in force."""
+    """Decide on a change that isn't based on the configuration in force."""
     forgotten = state.forgotten_generation
     if generation is not None and base_version < generation <= forgotten:
         reason = f"expected more than {forgotten}: what was taken until then is forgotten"
@@ -203,10 +203,10 @@
 
 
 def fingerprint(method: str, raw: Raw) -> int:
-    """The 64 bit fingerprint of a change; spacing and the order of fields in its JSON don't matter.
+    """The 64-bit fingerprint of a change, independent of the spacing and the order of fields in its JSON.
 
     Raises:
-        ValueError: It holds a number that JSON can't represent; 1e999 is parsed as infinity.
+        ValueError: It contains a number that JSON can't represent; 1e999 is parsed as infinity.
     """
     canonical = json.dumps(raw, allow_nan=False, sort_keys=True, separators=(",", ":"))
     return int.from_bytes(blake2b(f"{method} {canonical}".encode(), digest_size=8).digest())
--- a/gateway/config/digest.py
+++ b/gateway/config/digest.py
@@ -1,7 +1,8 @@
-"""Digests of a running configuration against those of the acknowledged document, to detect drift.
+"""Digests of a running configuration and of the acknowledged document, compared to detect drift.
 
-A configuration is a set of items (routes, keys, services, limits). Each has a 64 bit digest over its values;
-the digest of the whole is their sum modulo 2**64, so it doesn't depend on the order of entries.
+A configuration is a set of items (routes, keys, services, limits). Each item has a 64-bit digest over its
+values. The digest of the configuration is their sum modulo 2**64, so it doesn't depend on the order of
+entries.
 """
 
 from __future__ import annotations
@@ -34,18 +35,18 @@
 FIELDS = {"route": ROUTE, "key": TENANT, "service": SERVICE, "limits": LIMITS, "keys": ("asked",)}
 
 ItemKey = tuple[str, bytes, bytes]
-"""Identifies an item: its kind, then host and prefix of a route, the key of a tenant, or a label. A plain
-tuple, as its `repr` is part of the digest that nodes compare."""
+"""Identifies an item: its kind, then host and prefix of a route, the key of a tenant, or a label. It is a
+plain tuple because its `repr` is part of the digest that nodes compare."""
 
 ItemValues = tuple[object, ...]
-"""The values of an item that requests use, in the order of `FIELDS`; plain for the same reason."""
+"""The values of an item that requests use, in the order of `FIELDS`; a plain tuple for the same reason."""
 
 Item = Route | Tenant | Service | Limits | tuple[bool]
-"""What requests use: besides the compiled types, whether a key is required."""
+"""The parts of a configuration that requests use; the tuple contains whether a key is required."""
 
 
 class ExpectedItem(NamedTuple):
-    """One item as the document has it: its label, the values that requests use, and their digest."""
+    """An item according to the document: its label, the values that requests use, and their digest."""
 
     label: str
     values: ItemValues
@@ -53,7 +54,7 @@
 
 
 class ExpectedDigests:
-    """The expected digests of all items, computed from the document alone; `total` is that of the whole.
+    """The expected digests of all items, computed from the document alone; `total` is the digest of all.
 
     Unchanged items are reused from `previous`.
     """
@@ -65,26 +66,26 @@
         self.items: dict[ItemKey, ExpectedItem] = {}
         old = previous.items if previous else {}
         for name, label, values in _expected_items(document):
-            known = old.get(name)
-            same = known is not None and known.values == values and known.label == label
+            old_item = old.get(name)
+            same = old_item is not None and old_item.values == values and old_item.label == label
             self.items[name] = (
-                known if known and same else ExpectedItem(label, values, item_digest(name, values))
+                old_item if old_item and same else ExpectedItem(label, values, item_digest(name, values))
             )
         self.total = sum(i.digest for i in self.items.values()) & MASK
 
 
 def item_digest(name: ItemKey, values: ItemValues) -> int:
-    """The 64 bit digest of one item; the same on all nodes for the same values."""
+    """The 64-bit digest of an item, which is the same on all nodes for the same values."""
     return int.from_bytes(blake2b(repr((name, values)).encode(), digest_size=8).digest())
 
 
 def digest(compiled_config: CompiledConfig) -> int:
-    """The 64 bit digest of a whole compiled configuration: the sum over its items."""
+    """The 64-bit digest of a compiled configuration: the sum over its items."""
     return sum(item_digest(key, values_of(item)) for key, item in iterate_items(compiled_config)) & MASK
 
 
 def iterate_items(compiled_config: CompiledConfig) -> Iterator[tuple[ItemKey, Item]]:
-    """All items that requests use, found by walking the routing tree itself."""
+    """All items that requests use, found by traversing the routing tree itself."""
     for host, root in compiled_config.hosts.items():
         level: list[tuple[bytes, Node]] = [(b"/", root)]
         while level:
@@ -101,16 +102,16 @@
 
 
 class DriftScanner:
-    """Scans a compiled configuration repeatedly, some items a call, for differences from the expected."""
+    """Scans a compiled configuration repeatedly, a few items per call, for unexpected differences."""
 
     def __init__(self, compiled_config: CompiledConfig, expected: ExpectedDigests) -> None:
         self.compiled_config = compiled_config
         self.expected = expected
-        self.completed_passes = 0  # full scans so far
+        self.completed_passes = 0  # number of complete scans
         self._pending_items: list[tuple[ItemKey, Item]] = []
 
     def step(self, n: int) -> list[Difference]:
-        """Check the next `n` items; at the start of each scan, also which expected items are missing."""
+        """Check the next `n` items; at the start of each scan, also find missing items."""
         found: list[Difference] = []
         if not self._pending_items:
             self._pending_items = list(iterate_items(self.compiled_config))
@@ -122,7 +123,7 @@
         return found
 
     def check_item(self, key: ItemKey, item: Item) -> list[Difference]:
-        """Check one item that requests use; the fields that differ from the document."""
+        """Check one item that requests use; returns the fields that differ from the document."""
         running = values_of(item)
         expected = self.expected.items.get(key)
         if expected is None:
@@ -142,7 +143,7 @@
 
 
 def _label(name: ItemKey, running: ItemValues) -> str:
-    """Label of an item that the document doesn't have. Keys are secrets, so the tenant's label is used."""
+    """Label of an item that isn't in the document; for a key, which is secret, the tenant's label."""
     return str(running[0]) if name[0] in ("route", "key") else name[1].decode()
 
 
--- a/gateway/config/document.py
+++ b/gateway/config/document.py
@@ -1,4 +1,4 @@
-"""A full configuration as the operator sent it, with a typed view. Unknown fields are ignored but kept."""
+"""A full configuration as sent by the operator, with a typed view. Unknown fields are preserved."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from gateway.config import schema
 from gateway.config.schema import ConfigError
 
-MAX_DEPTH = 32  # nesting of lists and objects
-MAX_TARGET_LATENCY_EXCESS_S = 60.0  # a target latency may exceed its deadline by less
-MAX_JSON_ERROR_LENGTH = 200  # characters of the parser's message that are shown
+MAX_DEPTH = 32  # maximum nesting of lists and objects
+MAX_TARGET_LATENCY_EXCESS_S = 60.0  # a target latency must exceed its deadline by less than this
+MAX_JSON_ERROR_LENGTH = 200  # maximum characters of the parser's message in an error
 
 Raw = dict[str, Any]
-"""A JSON object, as the json module gives it; only what is checked by `schema` is relied on."""
+"""A JSON object as returned by the json module; code may rely only on what `schema` has checked."""
 
 
 class EntryKey(NamedTuple):
-    """Identifies an entry: its kind and label. There is only one entry of limits, whatever its label."""
+    """Identifies an entry: its kind and label. There is only one entry of limits, whatever its label is."""
 
     kind: str
     label: str
@@ -33,7 +33,7 @@
 class RouteEntry(NamedTuple):
     """A route as configured. The host is in lower case.
 
-    `unused_target` is a `target` beside `weighted`, which gets no requests.
+    `unused_target` is a `target` configured in addition to `weighted`; it gets no requests.
     """
 
     label: str
@@ -43,15 +43,16 @@
     deadline: float  # seconds
     target_latency: float  # seconds
     precedence: int  # 0 is the highest
-    tries: int  # attempts at most
+    tries: int  # maximum number of attempts
     public: bool  # no key is required
-    # Services with their shares. Plain pairs, as their `repr` is part of the digest that nodes compare.
+    # Services with their shares. These are plain pairs, because their `repr` is part of the digest that nodes
+    # compare.
     targets: tuple[tuple[str, float], ...]
     unused_target: str | None
 
 
 class ServiceEntry(NamedTuple):
-    """A service as configured: path of health probes, and connections a backend accepts from all callers."""
+    """A service as configured: health check path, and the connections that a backend accepts in total."""
 
     label: str
     health_path: str
@@ -59,7 +60,7 @@
 
 
 class TenantEntry(NamedTuple):
-    """A tenant as configured. `rate` is requests a second, 0 for no limit; `precedence` None: the route's."""
+    """A tenant as configured; `rate` in requests per second (0: no limit), `precedence` None: the route's."""
 
     label: str
     keys: tuple[str, ...]
@@ -81,7 +82,7 @@
 
 
 class Document:
-    """One configuration, immutable once it is built by `parse`, `from_raw` or `apply_patch`."""
+    """A configuration, immutable once it is built by `parse`, `from_raw` or `apply_patch`."""
 
     __slots__ = (
         "base_version",
@@ -129,10 +130,10 @@
 
     Args:
         body: The JSON text.
-        checked: Its nesting was checked before.
+        checked: Whether its nesting was checked before.
 
     Returns:
-        The object, or an error: invalid JSON, not an object, or nested too deeply.
+        The object, or an error: the JSON is invalid, not an object, or nested too deeply.
     """
     try:
         raw = json.loads(body, parse_constant=_no_number)
@@ -158,22 +159,23 @@
 def parse(body: bytes, previous: Document | None = None) -> Result[Document, list[ConfigError]]:
     """Parse and check a full configuration.
 
-    Entries equal to those of `previous` are reused, which saves time. Pass it only for a configuration that
-    was checked before: to Python, 1 and true are equal.
+    Entries equal to those of `previous` are reused, which saves time. Pass `previous` only for a
+    configuration that was checked before, because 1 and True are equal in Python.
     """
     raw = load(body, previous is not None)
     return from_raw(raw.ok_value, previous) if isinstance(raw, Ok) else raw
 
 
 def from_raw(raw: Raw, previous: Document | None = None) -> Result[Document, list[ConfigError]]:
-    """Check a full configuration and build its typed view (see `parse`). `raw` must not be changed later."""
+    """Check a full configuration and build its typed view (see `parse`). `raw` must not be modified later."""
     return _build(raw, previous, operator.eq)
 
 
 def apply_patch(previous: Document | None, raw: Raw) -> Result[Document, list[ConfigError]]:
     """The configuration that results from a PATCH of `previous`: first its `remove`, then its `upsert`.
 
-    Replaced entries keep their position, new ones come last; removing an unknown name is no error.
+    Replaced entries keep their position, and new ones are added at the end; removing an unknown name is no
+    error.
     """
     errors: list[ConfigError] = []
     upsert = _upserted(raw, errors)
@@ -243,7 +245,7 @@
 def _check_labels(
     entries: list[Any], where: str, places: dict[EntryKey, str], errors: list[ConfigError]
 ) -> None:
-    """Check kinds and labels, which all entries have, and record the place of each entry."""
+    """Check the kind and label of each entry, and record the place of each entry."""
     for i, entry in enumerate(entries):
         place = f"{where}[{i}]"
         if not isinstance(entry, dict) or not isinstance(entry.get("entry-kind"), str):
@@ -289,7 +291,7 @@
     if errors:
         return Err(errors[: schema.MAX_REPORTED_ERRORS])
     document = Document(raw, generation, base_version)
-    if order is not None:  # of a PATCH: only its own entries have a place
+    if order is not None:  # for a PATCH, only its own entries have a place
         found = {key: order.get(key) or f"{key.kind} {key.label}" for key in found}
     for entry in document.entries:
         key = key_of(entry)
@@ -350,13 +352,13 @@
 
 
 def _check_references(document: Document, places: dict[EntryKey, str], errors: list[ConfigError]) -> None:
-    """Check references between entries, and that hosts with prefixes and keys are unique."""
+    """Check references between entries, and that hosts with prefixes, and keys, are unique."""
     _check_routes(document, places, errors)
     _check_keys(document, places, errors)
 
 
 def _check_routes(document: Document, places: dict[EntryKey, str], errors: list[ConfigError]) -> None:
-    owners: dict[tuple[str, str], str] = {}  # by host and prefix, the route that has them
+    owners: dict[tuple[str, str], str] = {}  # the route of each host and prefix
     for route in document.routes.values():
         place = places[EntryKey("route-table", route.label)]
         for service, _ in route.targets:
@@ -373,7 +375,7 @@
 
 
 def _check_keys(document: Document, places: dict[EntryKey, str], errors: list[ConfigError]) -> None:
-    owners: dict[str, str] = {}  # by API key, the tenant that has it
+    owners: dict[str, str] = {}  # the tenant of each API key
     for tenant in document.tenants.values():
         for key in tenant.keys:
             owner = owners.setdefault(key, tenant.label)
--- a/gateway/config/errors.py
+++ b/gateway/config/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the config package. Errors of the operator are values of type `schema.ConfigError` instead."""
+"""Errors of the config package; errors in an operator's input are `schema.ConfigError` values."""
 
 from __future__ import annotations
 
@@ -8,4 +8,4 @@
 
 
 class MalformedStateError(ConfigurationError, ValueError):
-    """A replicated value can't be decoded: it is damaged, or written by a release that isn't known here."""
+    """A replicated value can't be decoded: it is corrupt, or was written by an unsupported release."""
--- a/gateway/config/reference.py
+++ b/gateway/config/reference.py
@@ -1,6 +1,6 @@
-"""Reference implementation: evaluates one request directly on the document, to check the compiled form.
+"""Reference implementation that evaluates one request directly on the document, to check the compiled form.
 
-It searches the raw entries one after the other, and shares no code with `gateway.config.routing`.
+It searches the raw entries one by one, and shares no code with `gateway.config.routing`.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 class ExpectedDecision(NamedTuple):
-    """The expected decision on a request: status 200 (forward), 401 or 404, and its route and tenant.
+    """The expected decision on a request: status 200 (forward), 401 or 404, the route and the tenant.
 
-    Times are seconds. `targets` are services by name with their shares; `tenant` is empty for none.
+    Times are in seconds. `targets` contains service names with their shares; an empty `tenant` means none.
     """
 
     status: int
@@ -48,7 +48,7 @@
 
 
 def evaluate(document: Document, host: bytes, path: bytes, key: bytes) -> ExpectedDecision:
-    """Evaluate the document for one request; `key` is empty if the request has none."""
+    """Evaluate the document for one request; `key` is empty if the request has no key."""
     entry = _route(document.entries, _host(host), path.split(b"?")[0])
     if entry is None:
         return ExpectedDecision(404)
@@ -79,7 +79,7 @@
 
 
 def compare_decision(running: RouteDecision, expected: ExpectedDecision) -> list[Difference]:
-    """Where a live decision differs from the document. If status or route differ, only these are compared."""
+    """Compare a live decision with the document. If the status or route differs, only these are compared."""
     r = running.route
     tenant = running.tenant
     if r is None:
--- a/gateway/config/routing.py
+++ b/gateway/config/routing.py
@@ -1,4 +1,4 @@
-"""A configuration compiled for requests: a tree from host and path segments to routes, and tenants by key."""
+"""A configuration compiled for requests: routes by host and path segments, and tenants by key."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class Route:
-    """A compiled route, with the values of its entry.
+    """A compiled route with the values of its entry.
 
-    `cumulative_shares` has each service with the upper bound of its interval in [0, 1].
+    `cumulative_shares` contains each service with the upper bound of its interval in [0, 1].
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
         )
 
     def pick_service(self, r: float) -> str:
-        """Choose a service by the shares; `r` is uniform in [0, 1)."""
+        """Select a service according to the shares; `r` is uniform in [0, 1)."""
         for service, upper_bound in self.cumulative_shares:
             if r < upper_bound:
                 return service
@@ -70,7 +70,7 @@
 
 
 class Tenant:
-    """A compiled tenant. `rate` is requests a second, 0 for no limit; `precedence` None: the route's."""
+    """A compiled tenant. `rate` is requests per second, 0 for no limit; `precedence` None: the route's."""
 
     __slots__ = ("burst", "label", "precedence", "rate")
 
@@ -85,12 +85,12 @@
         return self.label, self.precedence, self.rate, self.burst
 
     def same(self, entry: TenantEntry) -> bool:
-        """Whether an entry has the same values, apart from its keys."""
+        """Whether an entry has the same values, except for its keys."""
         return self.values() == (entry.label, entry.precedence, entry.rate, entry.burst)
 
 
 class Service(NamedTuple):
-    """A service: the path of its health probes, and connections a backend accepts from all callers."""
+    """A service: the path for health checks, and the connections that a backend accepts from all callers."""
 
     health_path: str
     max_conns: int
@@ -107,7 +107,7 @@
 
 
 class RouteDecision(NamedTuple):
-    """The decision on a request: status 200 (forward), 401 or 404, its route and its tenant."""
+    """The decision on a request: status 200 (forward), 401 or 404, the route and the tenant."""
 
     status: int
     route: Route | None
@@ -115,16 +115,16 @@
 
     @property
     def precedence(self) -> int:
-        """The tenant's precedence, else the route's; 0 is highest. Only for status 200."""
+        """The tenant's precedence, otherwise the route's; 0 is the highest. Only valid for status 200."""
         if self.tenant is not None and self.tenant.precedence is not None:
             return self.tenant.precedence
         return self.route.precedence if self.route is not None else 0
 
 
 class CompiledConfig:
-    """A configuration compiled for requests, immutable once it is built.
+    """A configuration compiled for requests; immutable once it is built.
 
-    Unchanged routes and tenants are those of `previous`: open requests refer to them.
+    Unchanged routes and tenants are taken from `previous`, because open requests refer to them.
     """
 
     __slots__ = ("generation", "hosts", "keys", "limits", "requires_key", "routes", "services", "tenants")
@@ -145,9 +145,9 @@
         self.keys: dict[bytes, Tenant] = {}
         old_tenants = previous.tenants if previous else {}
         for tenant_entry in document.tenants.values():
-            known = old_tenants.get(tenant_entry.label)
-            is_same = known is not None and known.same(tenant_entry)
-            tenant = known if known is not None and is_same else Tenant(tenant_entry)
+            old_tenant = old_tenants.get(tenant_entry.label)
+            is_same = old_tenant is not None and old_tenant.same(tenant_entry)
+            tenant = old_tenant if old_tenant is not None and is_same else Tenant(tenant_entry)
             self.tenants[tenant_entry.label] = tenant
             for key in tenant_entry.keys:
                 self.keys[key.encode()] = tenant
@@ -160,7 +160,7 @@
         node.route = route
 
     def match(self, host: bytes, path: bytes) -> Route | None:
-        """The route with the longest prefix of the path on this host, or None; a query is ignored."""
+        """The route with the longest matching path prefix on this host, or None; the query is ignored."""
         node = self.hosts.get(host)
         if node is None and (node := self.hosts.get(host_of(host))) is None:
             return None
@@ -179,11 +179,11 @@
         return best
 
     def tenant(self, key: bytes) -> Tenant | None:
-        """The tenant of an API key (that of `Authorization: Token KEY`, see `key_of`)."""
+        """The tenant of an API key, which is sent as `Authorization: Token KEY` (see `key_of`)."""
         return self.keys.get(key)
 
     def resolve_request(self, host: bytes, path: bytes, key: bytes) -> RouteDecision:
-        """Decide on a request by its host, path and key; `key` is empty if it has none.
+        """Decide on a request by its host, path and key; `key` is empty if it has no key.
 
         A public route requires no key, but a known key still determines the tenant.
         """
@@ -208,7 +208,7 @@
 
 
 def cumulative_shares(targets: Targets) -> Targets:
-    """Services with a positive share, each with the upper bound of its interval in [0, 1]."""
+    """The services with a positive share, each with the upper bound of its interval in [0, 1]."""
     total = sum(share for _, share in targets)
     upper_bound = 0.0
     cumulative = []
--- a/gateway/config/schema.py
+++ b/gateway/config/schema.py
@@ -1,4 +1,4 @@
-"""Schema of a configuration: one `FieldSpec` a field, with its name, kind, default and check."""
+"""Schema of a configuration: one `FieldSpec` per field, with its name, kind, default and check."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any, Final, NamedTuple
 
-MAX_REPORTED_ERRORS = 20  # errors reported for one configuration
-MAX_INTEGER = 2**63 - 1  # generations and sizes fit a signed 64 bit integer
-MAX_SHOWN_LENGTH = 60  # characters of a value in an error
+MAX_REPORTED_ERRORS = 20  # maximum number of errors reported for one configuration
+MAX_INTEGER = 2**63 - 1  # generations and sizes fit into a signed 64-bit integer
+MAX_SHOWN_LENGTH = 60  # maximum characters of a value in an error message
 
 DEFAULT_MAX_HEADER_BYTES = 16_384
 DEFAULT_MAX_BODY_BYTES = 64 * 1024 * 1024
@@ -32,9 +32,9 @@
 
 
 class Constraint(NamedTuple):
-    """A check of a value of the right kind, and how it is described to the operator.
+    """A check of a value of the right kind, and its description for the operator.
 
-    What `accepts` takes depends on the kind of the field, hence `Any`.
+    The type of the argument of `accepts` depends on the kind of the field, hence `Any`.
     """
 
     expected: str
@@ -42,7 +42,7 @@
 
 
 class FieldSpec(NamedTuple):
-    """One field. With `zero_means_default`, a 0 or an empty list counts as left out."""
+    """One field. With `zero_means_default`, 0 and an empty list have the effect of an omitted field."""
 
     name: str
     kind: str
@@ -51,7 +51,7 @@
     zero_means_default: bool = False
 
 
-REQUIRED: Final = object()  # as a default: the field is required
+REQUIRED: Final = object()  # as a default value: the field is required
 
 NOT_BLANK = Constraint("text that is not empty", lambda v: bool(v.strip()))
 POSITIVE = Constraint("more than 0", lambda v: v > 0)
@@ -66,7 +66,7 @@
     lambda v: not v or (all(share >= 0 for _, share in v) and any(share > 0 for _, share in v)),
 )
 
-HEAD = (  # of a full configuration and of a PATCH
+HEAD = (  # fields of a full configuration and of a PATCH
     FieldSpec("generation", "whole number", REQUIRED, AT_LEAST_ONE),
     FieldSpec("base-version", "whole number", 0, NOT_NEGATIVE),
 )
@@ -105,16 +105,16 @@
 
 
 def host_of(host: bytes) -> bytes:
-    """A host in the form that is compared: in lower case and without its port."""
+    """Normalize a host for comparisons: lower case, without the port."""
     host = host.strip().lower()
     name, colon, port = host.rpartition(b":")
     has_port = bool(colon) and (port.isdigit() or not port)
-    # an IPv6 address without a port stays as it is
+    # An IPv6 address without a port is not changed.
     return name if has_port and (b":" not in name or name[-1:] == b"]") else host
 
 
 def text(value: object) -> str | None:
-    """The value if it is a string that can be put into a header, else None."""
+    """The value if it is a string that can be used in a header, otherwise None."""
     if not isinstance(value, str):
         return None
     if value.isascii() and value.isprintable():
@@ -168,7 +168,7 @@
     return tuple(read)
 
 
-# Readers by kind: each returns the typed value, or None if it isn't of the kind.
+# Converters by kind: each returns the typed value, or None if the value isn't of this kind.
 KINDS: Final[dict[str, Callable[[object], Any]]] = {
     "text": text,
     "host": _host,
@@ -181,13 +181,13 @@
 
 
 def format_value(value: object) -> str:
-    """A value as it is shown in an error: JSON, truncated."""
+    """Format a value for an error message: as JSON, truncated."""
     shown = "nothing" if value is None else json.dumps(value)
     return shown if len(shown) <= MAX_SHOWN_LENGTH else shown[: MAX_SHOWN_LENGTH - 3] + "..."
 
 
 def read(rows: tuple[FieldSpec, ...], fields: object, place: str, errors: list[ConfigError]) -> list[Any]:
-    """The values of the rows in their order, with defaults. Errors are appended; a value with one is None."""
+    """The values of the rows in order, with defaults. Errors are appended, and their values are None."""
     if not isinstance(fields, dict):
         errors.append(ConfigError(place, f"expected an object, got {format_value(fields)}"))
         return [None] * len(rows)
--- a/gateway/drift/detector.py
+++ b/gateway/drift/detector.py
@@ -1,4 +1,4 @@
-"""Drift detector of one node: is its version the newest, and does the running state match that version?"""
+"""Drift detector of one node, which compares its version and its running state with the newest."""
 
 from __future__ import annotations
 
@@ -26,27 +26,29 @@
 )
 from gateway.state_machine import LONG_AGO, Address
 
-# Of `apply_s`: after a newer version is known for so long, the node isn't ready, then requests are rejected.
+# Fractions of `apply_s`: once a newer version has been known for this long, the node is not ready.
 UNREADY_RATIO = 0.4
-REFUSE_RATIO = 0.6
-FETCH_INTERVAL_S = 0.5  # between two fetches of a newer version
-UNREADABLE_FETCH_INTERVAL_S = 5.0  # likewise, for a version that can't be read
-MAX_UNATTRIBUTED_FETCHES = 20  # fetches of a version that no known node has
+REFUSE_RATIO = 0.6  # after this fraction, requests are rejected as well
+FETCH_INTERVAL_S = 0.5  # minimum interval of fetches of a newer version
+UNREADABLE_FETCH_INTERVAL_S = 5.0  # the same for a version that can't be read
+MAX_UNATTRIBUTED_FETCHES = 20  # maximum number of fetches of a version that no known node has
 CLAIM_GRACE_S = 0.5  # this long after a version was advertised, the core's answer overrides it
-SUSPEND_THRESHOLD_S = 1.0  # without an event for so long, this process was suspended
-RESUME_GRACE_S = 0.5  # after a suspension requests are rejected until the core confirms, so long at most
-CORE_TIMEOUT_S = 10.0  # without contact with the core for so long there is a finding
-REBUILD_INTERVAL_S = 1.0  # between two rebuilds
-REBUILD_RETENTION_S = 30.0  # a rebuild counts towards the limit for so long
-SAMPLE_REBUILD_INTERVAL_S = 10.0  # between two rebuilds caused by samples
-MAX_REBUILDS = 3  # within that time; if they don't help, there are no more
-MAX_FINDINGS = 32  # findings kept
-MAX_TEXT_LENGTH = 120  # characters of a value in them
-MAX_KNOWN_FINDINGS = 256  # findings that aren't reported again,
-FINDING_RETENTION_S = 600.0  # until they weren't found for so long
-
-# Why requests are rejected.
-CORE_NOT_HEARD = "the core has yet to be heard"  # right after a start
+# After a longer time without an event, this process is assumed to have been suspended.
+SUSPEND_THRESHOLD_S = 1.0
+# Maximum time for which requests are rejected after a suspension until the core confirms the version.
+RESUME_GRACE_S = 0.5
+CORE_TIMEOUT_S = 10.0  # a finding is reported after this time without contact with the core
+REBUILD_INTERVAL_S = 1.0  # minimum interval of rebuilds
+REBUILD_RETENTION_S = 30.0  # a rebuild counts towards the limit for this long
+SAMPLE_REBUILD_INTERVAL_S = 10.0  # minimum interval of rebuilds caused by samples
+MAX_REBUILDS = 3  # within `REBUILD_RETENTION_S`; if they don't help, there are no more
+MAX_FINDINGS = 32  # number of stored findings
+MAX_TEXT_LENGTH = 120  # maximum characters of a value in a finding
+MAX_KNOWN_FINDINGS = 256  # number of findings that aren't reported again
+FINDING_RETENTION_S = 600.0  # a finding may be reported again if it has not been found for this long
+
+# Reasons for rejecting requests.
+CORE_NOT_HEARD = "the core has yet to be heard"  # shortly after a start
 NEWER_VERSION_KNOWN = "a newer version is known of"
 RESUMED = "resumed after a suspension"
 NO_CORE_CONTACT = "no contact with the core"
@@ -55,13 +57,15 @@
 class DriftDetector:
     """State machine of one node.
 
-    `ReadinessChanged` and `RefusalChanged` come out only on a change. Requests are rejected until the core
-    has confirmed the version once: a restarted node may hear only a controller that is cut off.
+    `ReadinessChanged` and `RefusalChanged` are output only on a change. Requests are rejected until the core
+    has confirmed the version once, because a restarted node may have contact only with a partitioned
+    controller.
 
     Args:
-        apply_s: The time in seconds in which a version has to be in force.
-        refuse_after_s: Requests are rejected once the last contact with the core is that old. None: a node
-            that is cut off serves on.
+        apply_s: The time in seconds within which a version must be in force.
+        refuse_after_s: Requests are rejected once the last contact with the core is older than this. None
+        means
+            that a disconnected node continues to serve requests.
     """
 
     def __init__(self, apply_s: float, refuse_after_s: float | None = None) -> None:
@@ -70,28 +74,28 @@
         self.version = 0
         self.running_digest = 0
         self.acknowledged_digest = 0
-        self.newer_version = 0  # a newer version, if any,
-        self.newer_source = ""  # a node that has it,
-        self.newer_since = 0.0  # and since when it is known
+        self.newer_version = 0  # a newer version, if any
+        self.newer_source = ""  # a node that has the newer version
+        self.newer_since = 0.0  # when the newer version became known
         self.unattributed_version = 0  # a newer version that no known node has
         self.fetch_attempts = 0
-        self.confirmed_at: float | None = None  # no request is served before that
+        self.confirmed_at: float | None = None  # no request is served before this time
         self.first_applied_at = 0.0
         self.last_event_at: float | None = None
-        self.clock_offset = 0.0  # added to the clock, so that time never runs backwards here
-        self.unreadable_version = 0  # a version that was received and can't be read
+        self.clock_offset = 0.0  # added to the clock, so that time never runs backwards
+        self.unreadable_version = 0  # a received version that can't be read
         self.resumed_at = LONG_AGO
         self.fetched_at = LONG_AGO
         self.sample_rebuilt_at = LONG_AGO  # last rebuild caused by a sample
         self.rebuilt_at: deque[float] = deque(maxlen=MAX_REBUILDS)
         self.ready = True
         self.refusal_reason = ""  # why requests are rejected; empty if they aren't
-        self.known_findings: dict[Difference, float] = {}  # reported ones, and when they were found last
+        self.known_findings: dict[Difference, float] = {}  # reported findings, and when each was last found
         self.findings: deque[Finding] = deque(maxlen=MAX_FINDINGS)
         self.finding_count = 0
 
     def handle(self, now: float, event: DetectorEvent) -> list[DetectorOutput]:
-        """Handle an event; returns the outputs. A clock that steps back is treated as standing still."""
+        """Handle an event; returns the outputs. If the clock steps back, it is treated as stopped."""
         now += self.clock_offset
         if self.last_event_at is not None and now < self.last_event_at:
             self.clock_offset += self.last_event_at - now
@@ -129,11 +133,11 @@
 
     @property
     def core_not_heard(self) -> bool:
-        """Whether there is a version, and the core hasn't confirmed any since the process started."""
+        """Whether there is a version that the core hasn't confirmed since this process started."""
         return self.version > 0 and self.confirmed_at is None
 
     def confirmation_age(self) -> float | None:
-        """Seconds since the core last confirmed the version as the newest; None before the first time."""
+        """Seconds since the core last confirmed the version as the newest; None if it never did."""
         if self.confirmed_at is None:
             return None
         return max(0.0, (self.last_event_at or 0.0) - self.confirmed_at)
@@ -159,7 +163,7 @@
         return self._on_differences_found(now, DifferencesFound(Check.DIGEST, (difference,)))
 
     def _on_version_unreadable(self, now: float, event: VersionUnreadable) -> list[DetectorOutput]:
-        """A version was received and can't be read: it counts as newer and is fetched again."""
+        """Handle a received version that can't be read: it counts as newer and is fetched again."""
         self.unreadable_version = event.version
         self.fetched_at = now
         self._on_newer_version(now, event.version, self.newer_source)
@@ -184,7 +188,7 @@
         return []
 
     def _on_newer_version(self, now: float, version: int, source: Address) -> None:
-        """A node that has a newer version advertises it."""
+        """Record a newer version and the node that advertises it."""
         if self.newer_version <= self.version:
             self.newer_since = now
         if version > self.newer_version or (version == self.newer_version and source):
@@ -192,9 +196,9 @@
             self.newer_source = source
 
     def _on_newest_confirmed(self, now: float, event: NewestConfirmed) -> list[DetectorOutput]:
-        """The core confirmed its newest version.
+        """Handle the core's confirmation of its newest version.
 
-        An advertised one that the core still doesn't know after `CLAIM_GRACE_S` is dismissed.
+        An advertised version that the core still doesn't know after `CLAIM_GRACE_S` is dismissed.
         """
         at = min(now, event.at + self.clock_offset)
         outputs: list[DetectorOutput] = []
@@ -214,7 +218,7 @@
         return outputs
 
     def _catch_up(self, now: float) -> list[DetectorOutput]:
-        """Fetch a newer version that the change log doesn't deliver, from its advertiser or the core."""
+        """Fetch a newer version that the change log doesn't deliver, from its advertiser or from the core."""
         is_unreadable = self.newer_version == self.unreadable_version > 0
         interval_s = UNREADABLE_FETCH_INTERVAL_S if is_unreadable else FETCH_INTERVAL_S
         if now - self.fetched_at < interval_s:
@@ -227,18 +231,19 @@
         if self.unattributed_version > self.version and self.fetch_attempts < MAX_UNATTRIBUTED_FETCHES:
             self.fetched_at = now
             self.fetch_attempts += 1
-            return [FetchVersion(self.version + 1, "")]  # any newer one: the advertised one may not exist
+            # Any newer version, because the advertised one may not exist.
+            return [FetchVersion(self.version + 1, "")]
         return []
 
-    # What runs.
+    # Running state.
 
     def _on_differences_found(self, now: float, event: DifferencesFound) -> list[DetectorOutput]:
-        """Report what differs, and have the configuration rebuilt or fetched again."""
+        """Report differences, and have the configuration rebuilt or fetched again."""
         outputs: list[DetectorOutput] = []
         for difference in event.differences:
             outputs += self._report(difference, event.check)
         rebuild = Rebuild(event.differences[0].place)
-        if event.check is Check.SAMPLE:  # if the two implementations disagree, rebuilding doesn't help
+        if event.check is Check.SAMPLE:  # a rebuild doesn't help if the two implementations disagree
             if outputs and now - self.sample_rebuilt_at >= SAMPLE_REBUILD_INTERVAL_S:
                 self.sample_rebuilt_at = now
                 outputs.append(rebuild)
@@ -257,13 +262,13 @@
         return [*outputs, rebuild]
 
     def _rebuild_limit_reached(self, now: float) -> bool:
-        """Whether there were `MAX_REBUILDS` rebuilds of late, so that another one won't help."""
+        """Whether there were `MAX_REBUILDS` recent rebuilds, so that another one won't help."""
         while self.rebuilt_at and now - self.rebuilt_at[0] > REBUILD_RETENTION_S:
             self.rebuilt_at.popleft()
         return len(self.rebuilt_at) >= MAX_REBUILDS
 
     def _report(self, difference: Difference, how: str) -> list[DetectorOutput]:
-        """A finding, unless the same one was reported of late."""
+        """Return a finding, unless the same one was reported recently."""
         now = self.last_event_at or 0.0
         if now - self.known_findings.pop(difference, LONG_AGO) <= FINDING_RETENTION_S:
             self.known_findings[difference] = now
@@ -285,7 +290,7 @@
     # Time.
 
     def _on_resume(self, now: float, gap_s: float) -> None:
-        """The process was suspended for `gap_s` seconds, in which it couldn't receive anything."""
+        """Handle a suspension of the process for `gap_s` seconds, during which it received nothing."""
         self.newer_since += gap_s
         if gap_s > self.apply_s:
             self.resumed_at = now
@@ -302,7 +307,7 @@
         return outputs
 
     def _state_changes(self, now: float) -> list[DetectorOutput]:
-        """Readiness and refusal of requests, where they have changed."""
+        """Changes of readiness and of the rejection of requests."""
         lag = self.lag()
         outputs: list[DetectorOutput] = []
         is_behind = lag >= UNREADY_RATIO * self.apply_s
@@ -317,7 +322,7 @@
         return outputs
 
     def _refusal(self, now: float, lag: float) -> str:
-        """Why requests are rejected; empty if they aren't."""
+        """The reason for rejecting requests; empty if they aren't rejected."""
         if lag >= REFUSE_RATIO * self.apply_s:
             return NEWER_VERSION_KNOWN
         if self.core_not_heard:
--- a/gateway/drift/events.py
+++ b/gateway/drift/events.py
@@ -1,6 +1,6 @@
 """Input events of the drift state machines. Each docstring says when the event is raised.
 
-Times are monotonic seconds, digests 64 bit integers.
+Times are monotonic seconds, digests 64-bit integers.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 
 class Check(StrEnum):
-    """Checks that find differences; findings name them."""
+    """Checks that find differences; findings contain their names."""
 
-    REQUEST = "request"  # the route and the key that a live request uses
+    REQUEST = "request"  # the route and the key used by a live request
     SAMPLE = "sample"  # a live request's decision, evaluated directly on the document
     SCAN = "round"  # the scan over all items, and the rate limits in force
     DIGEST = "digest"  # the digest of a version when it is applied
@@ -24,7 +24,7 @@
 class VersionApplied(NamedTuple):
     """Raised when this node has applied a version.
 
-    `running` is the digest of what it runs, `acknowledged` the one that the core acknowledged.
+    `running` is the digest of the running state, `acknowledged` the digest acknowledged by the core.
     """
 
     version: int
@@ -33,7 +33,7 @@
 
 
 class VersionUnreadable(NamedTuple):
-    """Raised when a version was received that can't be read here."""
+    """Raised when a received version can't be read."""
 
     version: int
     reason: str
@@ -42,7 +42,7 @@
 class VersionSeen(NamedTuple):
     """Raised when a node is known to have a version.
 
-    With an empty `source`, one that doesn't have it has heard of it.
+    An empty `source` means that the version was reported by a node that doesn't have it.
     """
 
     version: int
@@ -51,27 +51,27 @@
 
 
 class NewestConfirmed(NamedTuple):
-    """Raised when a majority of the core confirmed the newest version, at the time `at` or later."""
+    """Raised when a majority of the core has confirmed the newest version, at the time `at` or later."""
 
     version: int
     at: float
 
 
 class DifferencesFound(NamedTuple):
-    """Raised when a check finds that what runs differs from the document."""
+    """Raised when a check finds that the running state differs from the document."""
 
     check: Check
     differences: tuple[Difference, ...]
 
 
 class Tick(NamedTuple):
-    """Raised about four times a second: time has passed."""
+    """Raised about four times per second to advance timers."""
 
 
 class NodeReport(NamedTuple):
     """Raised when a node reports what it runs.
 
-    `findings` is its number of findings since its start, `finding` at times the latest one.
+    `findings` is its number of findings since its start; `finding` is occasionally the latest one.
     """
 
     node: Address
--- a/gateway/drift/fleet_status.py
+++ b/gateway/drift/fleet_status.py
@@ -1,4 +1,4 @@
-"""Which configuration each node runs, as a controller knows it, and which nodes are behind."""
+"""The configuration that each node runs, as known to a controller, and the nodes that are behind."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from gateway.drift.outputs import Finding
 from gateway.state_machine import Address
 
-MAX_NODES = 4096  # further ones are ignored
-NODE_RETENTION_S = 120.0  # without a report for so long a node is forgotten
-CONTACT_GAP_S = 2.5  # between two reports of a node that counts as in touch
-CHECK_INTERVAL_S = 0.5  # between two searches for nodes that are behind
-MAX_VERSIONS = 32  # acknowledged versions whose time is remembered
-MAX_FINDINGS = 32  # findings kept
-MAX_TEXT_LENGTH = 400  # characters of one
+MAX_NODES = 4096  # further nodes are ignored
+NODE_RETENTION_S = 120.0  # a node is removed after this time without a report
+CONTACT_GAP_S = 2.5  # maximum interval of reports of a node in contact
+CHECK_INTERVAL_S = 0.5  # interval of searches for nodes that are behind
+MAX_VERSIONS = 32  # number of acknowledged versions with a stored time
+MAX_FINDINGS = 32  # number of stored findings
+MAX_TEXT_LENGTH = 400  # maximum characters of a finding
 
 
 class AcknowledgedVersion(NamedTuple):
-    """When a version was acknowledged, and its digest."""
+    """The time at which a version was acknowledged, and its digest."""
 
     at: float
     digest: int
 
 
 class LagReported(NamedTuple):
-    """It was found that a node lacks this version."""
+    """A finding was reported that a node lacks this version."""
 
     version: int
 
 
 class DigestReported(NamedTuple):
-    """It was found that a node runs another digest than the acknowledged one of this version."""
+    """A finding was reported that a node runs another digest of this version than the acknowledged one."""
 
     version: int
     digest: int
 
 
 class Node:
-    """What a node has reported of itself, and what was last found about it."""
+    """A node's latest report, and the last finding about it."""
 
     __slots__ = (
         "digest",
@@ -52,17 +52,17 @@
     )
 
     def __init__(self, now: float) -> None:
-        self.in_touch_since = now  # without a gap
+        self.in_touch_since = now  # start of the contact without a gap
         self.last_contact_at = 0.0
         self.version = 0
         self.digest = 0
-        self.findings = 0  # number of its own findings
-        self.finding = ""  # the latest of them
+        self.findings = 0  # number of the node's own findings
+        self.finding = ""  # latest of the node's own findings
         self.last_found: LagReported | DigestReported | None = None
 
 
 class NodeRow(NamedTuple):
-    """A node as shown: `heard_s` since its last report, `lag_s` since it lacks a version (0: none)."""
+    """A node as displayed: `heard_s` since its last report, `lag_s` since it lacks a version (0: none)."""
 
     node: Address
     version: int
@@ -76,19 +76,20 @@
 class FleetStatus:
     """State machine at a controller.
 
-    A finding comes out once for each node and version that it lacks, for each digest that isn't the
-    acknowledged one, and for each finding that a node reports.
+    It reports one finding for each node and version that the node lacks, for each digest that differs from
+    the acknowledged one, and for each finding reported by a node.
 
     Attributes:
-        spread_s: The time from the newest version's acknowledgement to the last report, so far, of a node in
-            touch that it is in force.
+        spread_s: The time from the acknowledgement of the newest version to the latest report of a node in
+        contact
+            that this version is in force.
     """
 
     def __init__(self, apply_s: float) -> None:
-        """`apply_s` is the time in seconds in which a version has to be in force."""
+        """`apply_s` is the time in seconds within which a version must be in force."""
         self.apply_s = apply_s
         self.nodes: OrderedDict[Address, Node] = OrderedDict()
-        self.version = 0  # the newest acknowledged one
+        self.version = 0  # the newest acknowledged version
         self.acknowledged: OrderedDict[int, AcknowledgedVersion] = OrderedDict()  # by version
         self.findings: deque[str] = deque(maxlen=MAX_FINDINGS)
         self.finding_count = 0
@@ -118,7 +119,7 @@
             self.acknowledged.popitem(last=False)
 
     def _tick(self, now: float) -> list[Finding]:
-        """Forget silent nodes, and find those that are behind."""
+        """Remove nodes without reports, and find those that are behind."""
         if now - self.checked_at < CHECK_INTERVAL_S:
             return []
         self.checked_at = now
@@ -154,7 +155,7 @@
         return self._record_findings([*findings, *self._digest_finding(node, report)])
 
     def _digest_finding(self, node: Node, report: NodeReport) -> list[Finding]:
-        """A finding if a node runs another digest than the acknowledged one, unless it was the last one."""
+        """Report a node with another digest than the acknowledged one, unless that was its last finding."""
         acknowledged = self.acknowledged.get(report.version)
         found = DigestReported(report.version, report.digest)
         if acknowledged is None or acknowledged.digest == report.digest or node.last_found == found:
@@ -165,7 +166,7 @@
         return [Finding(f"node {report.node}", running, expected, report.version, "its digest")]
 
     def _lag_finding(self, now: float, address: Address, node: Node) -> list[Finding]:
-        """A finding if a node in touch has reported for longer than `apply_s` that it lacks a version."""
+        """Report a node in contact that has lacked a version for longer than `apply_s`."""
         lag = self.lag(now, node)
         is_late = node.last_contact_at - max(node.in_touch_since, now - lag) > self.apply_s
         found = LagReported(self.version)
@@ -187,7 +188,7 @@
         return findings
 
     def lag(self, now: float, node: Node) -> float:
-        """Seconds since the acknowledgement of the first version that the node lacks; 0: none."""
+        """Seconds since the acknowledgement of the first version that the node lacks; 0 if there is none."""
         missing = (now - known.at for version, known in self.acknowledged.items() if version > node.version)
         return next(missing, 0.0)
 
--- a/gateway/drift/live_check.py
+++ b/gateway/drift/live_check.py
@@ -1,4 +1,4 @@
-"""Checks of the running configuration on live requests: the route and key used, samples, and a scan."""
+"""Checks of the running configuration on live requests: used routes and keys, samples, and a scan."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 from gateway.config.schema import Difference
 from gateway.drift.events import Check
 
-SAMPLE_INTERVAL = 50  # at most one request in so many is also evaluated directly on the document
-ENTRIES_PER_REQUEST = 5  # a sample costs by the number of entries, so large documents are sampled less often
-REQUESTS_PER_STEP = 16  # one request in so many advances the scan by one item
-IDLE_STEP_INTERVAL_S = 0.5  # besides, the scan advances by one item in this time
-REJECTED_SAMPLE_INTERVAL_S = 0.25  # between two samples of requests that are rejected
+SAMPLE_INTERVAL = 50  # at most one request in this many is also evaluated directly on the document
+# The cost of a sample grows with the number of entries, so large documents are sampled less often.
+ENTRIES_PER_REQUEST = 5
+REQUESTS_PER_STEP = 16  # one request in this many advances the scan by one item
+IDLE_STEP_INTERVAL_S = 0.5  # without requests, the scan advances by one item per interval
+REJECTED_SAMPLE_INTERVAL_S = 0.25  # minimum interval of samples of rejected requests
 
 
 class CheckResult(NamedTuple):
-    """The result of a check, and the differences, usually none."""
+    """The result of a check; there are usually no differences."""
 
     check: Check
     differences: Sequence[Difference]
@@ -31,7 +32,7 @@
 
 
 class VerifiedRoute(NamedTuple):
-    """A route that was checked at its first use: its expected values, and its prefix."""
+    """A route that was checked at its first use: the expected values and the prefix."""
 
     values: ItemValues
     prefix: bytes
@@ -41,13 +42,13 @@
 
 
 class LiveCheck:
-    """Checks the decisions of one compiled configuration. Created anew for each version.
+    """Checks the decisions of one compiled configuration; created anew for each version.
 
-    `check` is for each live request, `idle` for times with few of them.
+    `check` is called for each live request, `idle` regularly to make progress without requests.
 
     Attributes:
-        requests: Requests checked, since the process started.
-        sampled: Of these, the ones also evaluated directly on the document.
+        requests: Requests checked since the process started.
+        sampled: Requests that were also evaluated directly on the document.
     """
 
     __slots__ = (
@@ -75,8 +76,8 @@
         self.expected = expected
         self.compiled_config = compiled_config
         self.scanner = DriftScanner(compiled_config, expected)
-        self.verified_routes: dict[Route, VerifiedRoute] = {}  # those used so far
-        # One request in so many is sampled.
+        self.verified_routes: dict[Route, VerifiedRoute] = {}  # routes used so far
+        # One request in this many is sampled.
         self.sample_interval = max(SAMPLE_INTERVAL, len(document.entries) // ENTRIES_PER_REQUEST)
         self.until_sample = self.sample_interval
         self.requests: int = previous.requests if previous else 0
@@ -87,7 +88,7 @@
     def check(
         self, now: float, host: bytes, path: bytes, key: bytes, route_decision: RouteDecision
     ) -> CheckResult:
-        """Check a decision: its route and tenant at each request, the whole decision at a sampled one."""
+        """Check a decision: route and tenant for each request, the complete decision for a sampled one."""
         self.requests += 1
         route = route_decision.route
         path_mismatch = False
@@ -133,7 +134,7 @@
         return differences
 
     def idle(self, now: float) -> list[Difference]:
-        """Advance the scan in times of few requests."""
+        """Advance the scan while there are few requests."""
         if now < self.next_scan_at <= now + IDLE_STEP_INTERVAL_S:
             return []
         self.next_scan_at = now + IDLE_STEP_INTERVAL_S
@@ -141,7 +142,7 @@
 
 
 def running_digest(compiled_config: CompiledConfig, expected: ExpectedDigests) -> int:
-    """The digest of a compiled configuration; cheap if it is as expected."""
+    """The digest of a compiled configuration; cheap to compute if it is as expected."""
     items = expected.items
     count = 0
     for key, running in iterate_items(compiled_config):
--- a/gateway/drift/metrics.py
+++ b/gateway/drift/metrics.py
@@ -1,6 +1,6 @@
 """Metrics in the Prometheus text format.
 
-Written here: importing prometheus-client costs 35 ms of processor time and 5.3 MB.
+Implemented here because importing prometheus-client costs 35 ms of processor time and 5.3 MB.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class Metric(NamedTuple):
-    """One sample; a name ending in `_total` is a counter. A value of None is left out.
+    """One sample; a name ending in `_total` denotes a counter. A value of None is omitted.
 
-    Samples of one name must be adjacent, with labels such as `way="holder"`; so must the `_bucket`, `_sum`
-    and `_count` of a histogram.
+    Samples with the same name must be adjacent and have labels such as `way="holder"`. The `_bucket`, `_sum`
+    and `_count` samples of a histogram must be adjacent too.
     """
 
     name: str
@@ -26,7 +26,7 @@
 
 
 def render_metrics(metrics: Iterable[Metric], prefix: str = DRIFT_METRIC_PREFIX) -> bytes:
-    """The body of the answer to a scrape; `prefix` is put before each name."""
+    """The body of the response to a scrape; `prefix` is prepended to each name."""
     lines = list[str]()
     family = ""
     parts = tuple[str, ...]()
--- a/gateway/drift/outputs.py
+++ b/gateway/drift/outputs.py
@@ -8,7 +8,7 @@
 
 
 class FetchVersion(NamedTuple):
-    """Fetch a version from `source` (empty: from the core). `again`: even if it is there already."""
+    """Fetch a version from `source` (empty: from the core). With `again`, even if it was fetched before."""
 
     version: int
     source: Address
@@ -16,19 +16,19 @@
 
 
 class Rebuild(NamedTuple):
-    """Rebuild the compiled configuration from the value as it was received, because of `reason`."""
+    """Rebuild the compiled configuration from the received value, because of `reason`."""
 
     reason: str
 
 
 class ReadinessChanged(NamedTuple):
-    """Whether the node is ready for new clients, as far as the configuration goes."""
+    """Whether the node is ready for new clients, as far as its configuration is concerned."""
 
     ready: bool
 
 
 class RefusalChanged(NamedTuple):
-    """Whether requests are rejected, and why."""
+    """Whether requests are rejected, and the reason."""
 
     refusing: bool
     reason: str
@@ -37,7 +37,7 @@
 class Finding(NamedTuple):
     """A finding for the operator: a place such as `route r-1.max-tries`, the running and the set value.
 
-    `how` names the check that found it. The names of the fields are those of the status page.
+    `how` names the check that produced it. The field names are those of the status page.
     """
 
     place: str
--- a/gateway/drift/quota_windows.py
+++ b/gateway/drift/quota_windows.py
@@ -1,4 +1,4 @@
-"""The rate limit windows in force in the quota plane, compared with those of the document."""
+"""Compares the rate limit windows in force in the quota plane with those of the document."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def expected_windows(document: Document, span_s: float) -> Windows:
-    """The windows that follow from the document; `span_s` is the span of the quota rule in seconds."""
+    """The windows defined by the document; `span_s` is the span of the quota rule in seconds."""
     windows = {t.label: plan(t.rate, t.burst, span_s) for t in document.tenants.values()}
     return {label: window for label, window in windows.items() if window is not None}
 
 
 def quota_differences(expected: Windows, running: Windows) -> list[Difference]:
-    """Where the windows in force differ from the expected ones."""
+    """The differences between the windows in force and the expected ones."""
     if expected == running:
         return []
     labels = sorted(expected.keys() | running.keys())
--- a/gateway/membership/backend_table.py
+++ b/gateway/membership/backend_table.py
@@ -1,4 +1,4 @@
-"""The backends as reported by several sources: for each its newest heartbeat, until no source leases it."""
+"""The backends as reported by several sources: the newest heartbeat of each, while a source leases it."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 from gateway.membership.types import Backend
 from gateway.state_machine import Address
 
-TOMBSTONE_S = 30.0  # for which a backend's end is remembered, so that late records of it are recognized
-MAX_ROWS = 10_000  # of backends, and of tombstones
-MAX_TICK_GAP_S = 1.0  # a longer one between two ticks: this process was paused, or couldn't receive
+# A backend's end is remembered this long, so that late records of the backend are recognized.
+TOMBSTONE_S = 30.0
+MAX_ROWS = 10_000  # maximum number of backends, and of tombstones
+MAX_TICK_GAP_S = 1.0  # after a longer gap between two ticks, this process is assumed to have been paused
 SLOW_START_TOLERANCE_S = 1.0  # smaller differences in the end of a slow start aren't significant
 ORPHAN_GRACE_S = 6.0
 
 
 class BackendRow:
-    """A backend, and the sources that have it under lease.
+    """A backend, and the sources that have its lease.
 
-    These may have it by an older heartbeat, as a source that is cut off from that of the newest heartbeat may
-    well receive its heartbeats again. Without any it is an orphan, since `orphaned_at`.
+    A source may have the lease by an older heartbeat: if it is partitioned from the source of the newest one,
+    it may receive heartbeats again. A backend without any lease is an orphan since `orphaned_at`.
     """
 
     __slots__ = ("backend", "lease_holders", "orphaned_at")
@@ -33,7 +34,7 @@
 
 
 def is_significant(now: float, old: Backend, new: Backend) -> bool:
-    """Whether a newer heartbeat of a backend says more than that it is alive."""
+    """Whether a newer heartbeat contains more information than that the backend is alive."""
     old_state = (old.service, old.address, old.zone, old.generation, old.capacity, old.draining)
     new_state = (new.service, new.address, new.zone, new.generation, new.capacity, new.draining)
     if old_state != new_state:
@@ -43,10 +44,10 @@
 
 
 class BackendTable:
-    """Merges the records of all sources. Times are steady seconds of this process.
+    """Merges the records of all sources. Times are monotonic seconds of this process.
 
-    Orphans are removed after `grace_s` seconds; at most `max_rows` backends, and as many tombstones, are
-    kept.
+    Orphans are removed after `grace_s` seconds. The table is limited to `max_rows` backends and as many
+    tombstones.
     """
 
     def __init__(self, grace_s: float = ORPHAN_GRACE_S, max_rows: int = MAX_ROWS) -> None:
@@ -58,7 +59,7 @@
         self.ticked_at: float | None = None
 
     def record(self, now: float, source: Address, record: BackendRecord) -> list[BackendChange]:
-        """Apply a record of a source's log; returns what it changes."""
+        """Apply a record of a source's log; returns the resulting changes."""
         match record:
             case LeaseRecord():
                 return self._apply_lease(now, source, record)
@@ -69,7 +70,7 @@
                 return []
 
     def snapshot(self, now: float, source: Address, records: Iterable[BackendRecord]) -> list[BackendChange]:
-        """Apply a snapshot of a source's log: of what is not in it, the source has no lease any more."""
+        """Apply a snapshot of a source's log: the source has no lease on backends that it doesn't contain."""
         leased: set[str] = set()
         changes: list[BackendChange] = []
         for record in records:
@@ -82,16 +83,16 @@
     def apply_update(
         self, now: float, source: Address, is_snapshot: bool, records: Sequence[BackendRecord]
     ) -> list[BackendChange]:
-        """Apply what was received of a source's log: new records, or a snapshot of all."""
+        """Apply an update of a source's log: new records, or a snapshot of all records."""
         if is_snapshot:
             return self.snapshot(now, source, records)
         return [change for record in records for change in self.record(now, source, record)]
 
     def release_all(self, at: float, source: Address, still_leased: Iterable[str] = ()) -> None:
-        """From the time `at` on, a source has leases only on the backends in `still_leased`."""
-        kept = set(still_leased)
+        """Record that from the time `at` on, a source has leases only on the backends in `still_leased`."""
+        retained = set(still_leased)
         for backend_id in [i for i, row in self.rows.items() if source in row.lease_holders]:
-            if backend_id not in kept:
+            if backend_id not in retained:
                 self._release(at, source, backend_id)
 
     def _release(self, at: float, source: Address, backend_id: str) -> None:
@@ -131,16 +132,16 @@
 
     def _update_row(self, now: float, row: BackendRow, heartbeat: Backend) -> list[BackendChange]:
         """Apply a newer heartbeat of a known backend."""
-        former = row.backend
-        backend = heartbeat._replace(first_heard_at=min(heartbeat.first_heard_at, former.first_heard_at))
-        if backend.address != former.address:
-            self._forget_address(former)
+        previous = row.backend
+        backend = heartbeat._replace(first_heard_at=min(heartbeat.first_heard_at, previous.first_heard_at))
+        if backend.address != previous.address:
+            self._forget_address(previous)
         row.backend = backend
         row.orphaned_at = now
-        return [BackendChanged(backend)] if is_significant(now, former, backend) else []
+        return [BackendChanged(backend)] if is_significant(now, previous, backend) else []
 
     def _evict_address_owner(self, now: float, new: Backend) -> list[BackendChange] | None:
-        """End the backend that had this address before; None if the other one is the newer one."""
+        """End the previous backend at this address; None if that backend is the newer one."""
         other = self.rows.get(self.by_address.get(new.address, new.id))
         if other is None or other.backend.id == new.id:
             return []
@@ -154,10 +155,10 @@
             del self.by_address[backend.address]
 
     def end(self, now: float, source: Address, backend_id: str, seq: int) -> list[BackendChange]:
-        """A source says that a backend's heartbeats up to this call-seq are obsolete.
+        """Handle a source's report that a backend's heartbeats up to this call-seq are obsolete.
 
-        Unless that is final, sources that still have a lease on it may have newer heartbeats: they have to
-        end it themselves.
+        Unless the end is final, other sources with a lease may have newer heartbeats; they must end the lease
+        themselves.
         """
         self._add_tombstone(now, backend_id, seq)
         self._release(now, source, backend_id)
@@ -187,9 +188,9 @@
         return [BackendRemoved(backend_id)]
 
     def tick(self, now: float, suspicions_known: bool) -> list[BackendChange]:
-        """Forget old tombstones, and remove orphans whose grace period is over.
+        """Remove expired tombstones, and orphans whose grace period has ended.
 
-        That period is suspended while it can't be judged which sources are lost (`suspicions_known` is
+        The grace period is suspended while it is unknown which sources are lost (`suspicions_known` is
         False), and while this process was paused.
         """
         passed = now - self.ticked_at if self.ticked_at is not None else 0.0
--- a/gateway/membership/change_log.py
+++ b/gateway/membership/change_log.py
@@ -1,4 +1,4 @@
-"""A change log at its source: only the last change of each key is kept, so memory is bounded."""
+"""A change log at its source. Only the last change of each key is stored, which bounds the memory."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from gateway.membership.codec import EndRecord, Record, ReleaseRecord, ZonedAddress
 from gateway.state_machine import Address, Send
 
-FOLLOWER_LIVE_S = 1.5  # changes are pushed to followers heard within this time
-PUSH_RETRY_S = 0.25  # a push that isn't confirmed by then is repeated
-PUSH_INTERVAL_S = 0.02  # between two pushes to one controller; changes in between go with the next tick
-# The same for an ingress: there are many, and no acknowledgement waits for them.
+FOLLOWER_LIVE_S = 1.5  # changes are pushed to followers that were in contact within this time
+PUSH_RETRY_S = 0.25  # an unconfirmed push is repeated after this time
+# Minimum interval of pushes to one controller; changes in between are sent at the next tick.
+PUSH_INTERVAL_S = 0.02
+# The same for a proxy: there are many proxies, and no acknowledgement waits for them.
 INGRESS_PUSH_INTERVAL_S = 0.1
-FOLLOWER_RETENTION_S = 30.0  # of silence, after which a follower is forgotten
+FOLLOWER_RETENTION_S = 30.0  # a follower is removed after this time without contact
 MAX_FOLLOWERS = 4096
-NEEDS_SNAPSHOT = -1  # as a follower's position
-NOT_AN_INGRESS = -1  # as a follower's zone
+NEEDS_SNAPSHOT = -1  # position of a follower that needs a snapshot
+NOT_AN_INGRESS = -1  # zone of a follower that is not a proxy
 
 
 class LogItem(NamedTuple):
-    """The last change of a key, and its number."""
+    """The last change of a key and its number."""
 
     number: int
     record: Record
@@ -41,15 +42,15 @@
         self.zone = NOT_AN_INGRESS
 
     def is_live(self, now: float) -> bool:
-        """Whether the follower was heard lately."""
+        """Whether the follower was in contact recently."""
         return now - self.last_contact_at < FOLLOWER_LIVE_S
 
 
 class ChangeLog:
-    """Numbered changes by key, which followers read from a position on.
+    """Numbered changes by key, which followers read starting at a position.
 
-    A follower that has another log (by its random `id`), or that is behind the number of an expired record
-    (`floor`), gets a snapshot.
+    A follower gets a snapshot if it follows another log (another random `id`), or if its position is below
+    `floor`, the number of the newest expired record.
     """
 
     def __init__(self, rng: random.Random, zone: int = 0, max_followers: int = MAX_FOLLOWERS) -> None:
@@ -57,13 +58,13 @@
         self.zone = zone
         self.max_followers = max_followers
         self.position = 0
-        self.quorate_until = inf  # a lease: it ends without notice, also while this process is paused
-        # Hashes of the addresses of sources that this process doesn't hear.
+        self.quorate_until = inf  # a lease: it ends without an event, even while this process is paused
+        # Hashes of the addresses of sources that this process has no contact with.
         self.unreachable: Collection[int] = ()
         self.items: dict[Hashable, LogItem] = {}  # in the order of their numbers
-        self.floor = 0  # changes up to here may have expired
+        self.floor = 0  # changes up to this number may have expired
         self.followers: dict[Address, _FollowerState] = {}
-        self._replies: dict[int, pb.Message] = {}  # by position, those made at `_replies_at`
+        self._replies: dict[int, pb.Message] = {}  # by position, built at `_replies_at`
         self._replies_at = -1.0
 
     def quorate(self, now: float) -> bool:
@@ -71,10 +72,10 @@
         return now < self.quorate_until
 
     def put(self, key: Hashable, record: Record) -> int:
-        """Append a change, which replaces the last one of its key; it is sent with the next `push`.
+        """Append a change, which replaces the key's last change and is sent with the next `push`.
 
         Returns:
-            Its number.
+            The number of the change.
         """
         self.items.pop(key, None)
         self.position += 1
@@ -93,12 +94,12 @@
         return item.number if item else 0
 
     def confirmations(self, number: int, members: Collection[Address]) -> int:
-        """How many of these members have confirmed the log up to this number."""
+        """The number of these members that have confirmed the log up to this number."""
         followers = [self.followers[member] for member in members if member in self.followers]
         return sum(follower.position >= number for follower in followers)
 
     def on_follow(self, now: float, sender: Address, follow: pb.Follow) -> list[Send]:
-        """A follower says up to which position it has this log: answer with what it lacks."""
+        """Handle a follower's report of its position in this log: send what it lacks."""
         follower = self.followers.get(sender)
         if follower is None:
             if len(self.followers) >= self.max_followers:
@@ -115,7 +116,7 @@
         return [self._send(now, sender, follower)]
 
     def ingresses(self, now: float) -> list[ZonedAddress]:
-        """The zone number and address of each ingress that follows this log, sorted."""
+        """The zone number and address of each proxy that follows this log, sorted."""
         return sorted(
             ZonedAddress(follower.zone, address)
             for address, follower in self.followers.items()
@@ -123,12 +124,12 @@
         )
 
     def push(self, now: float) -> list[Send]:
-        """Send new changes, and unconfirmed ones again, to all live followers."""
+        """Send new and unconfirmed changes to all live followers."""
         sends = []
         for address, follower in self.followers.items():
             lacks_changes = self.floor <= follower.position < self.position
             if not lacks_changes or not follower.is_live(now):
-                continue  # it lacks nothing, or gets a snapshot with the reply to its next heartbeat
+                continue  # it is up to date, or gets a snapshot in the reply to its next heartbeat
             is_ingress = follower.zone != NOT_AN_INGRESS
             interval_s = INGRESS_PUSH_INTERVAL_S if is_ingress else PUSH_INTERVAL_S
             has_unsent = follower.sent_position < self.position
@@ -137,7 +138,7 @@
         return sends
 
     def tick(self, now: float) -> list[Send]:
-        """Push what is due, and forget expired records and silent followers."""
+        """Push pending changes, and remove expired records and unresponsive followers."""
         for key, item in list(self.items.items()):
             if isinstance(item.record, EndRecord | ReleaseRecord) and item.record.until <= now:
                 del self.items[key]
@@ -169,8 +170,8 @@
         if position == NEEDS_SNAPSHOT:
             reply.snapshot = True
             reply.zone = self.zone + 1
-            kept = (item.record for item in self.items.values())
-            codec.fill_reply(reply, now, (r for r in kept if not isinstance(r, ReleaseRecord)))
+            records = (item.record for item in self.items.values())
+            codec.fill_reply(reply, now, (r for r in records if not isinstance(r, ReleaseRecord)))
         elif position < self.position:
             reply.base = position
             codec.fill_reply(reply, now, self._since(position))
--- a/gateway/membership/codec.py
+++ b/gateway/membership/codec.py
@@ -1,4 +1,4 @@
-"""Conversion between the membership's types and protobuf: log records, addresses, members, values."""
+"""Conversion between membership types and protobuf: log records, addresses, members and values."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from gateway.membership.types import Backend
 from gateway.state_machine import Address, FencingToken
 
-FINAL_SEQUENCE = 1 << 62  # as the call-seq of an end: no later heartbeat counts either
-INLINE_BYTES = 256  # longer values have to be requested, so that they come from one source only
-MAX_VALUE_BYTES = 64 << 20  # of a value, decompressed
+FINAL_SEQUENCE = 1 << 62  # call-seq of an end after which no heartbeat counts any more
+INLINE_BYTES = 256  # longer values have to be requested, so that they are received from one source only
+MAX_VALUE_BYTES = 64 << 20  # maximum size of a decompressed value
 COMPRESS_MIN_BYTES = 1024  # values up to this size aren't compressed
 COMPRESSION_LEVEL = 6
 MAX_UINT32 = 0xFFFFFFFF
@@ -26,16 +26,16 @@
 
 
 class LeaseRecord(NamedTuple):
-    """A backend in a log. With `relay`, the log's source only passes it on and doesn't have the lease."""
+    """A backend in a log. With `relay`, the log's source only forwards it and doesn't have the lease."""
 
     backend: Backend
     relay: bool = False
 
 
 class EndRecord(NamedTuple):
-    """A backend's end: heartbeats with a call-seq up to `seq` are obsolete.
+    """The end of a backend: heartbeats with a call-seq up to `seq` are obsolete.
 
-    It is forgotten at `until`; `first_heard_at` is that of the ended instance, inf if unknown.
+    The record expires at `until`. `first_heard_at` is that of the ended instance, or inf if unknown.
     """
 
     id: str
@@ -45,7 +45,7 @@
 
 
 class ReleaseRecord(NamedTuple):
-    """A backend of which this log no longer has a lease; others may. Forgotten at `until`."""
+    """The source of this log no longer has the lease of a backend; others may. It expires at `until`."""
 
     id: str
     until: float = 0.0
@@ -54,7 +54,7 @@
 class ValueRecord(NamedTuple):
     """A value in a log; `data` is None if the value has to be requested.
 
-    `kind` is a `ValueKind`, or one that only a later release knows.
+    `kind` is a `ValueKind`, or a kind that only a later release knows.
     """
 
     kind: int
@@ -71,7 +71,7 @@
 
 
 class ZonedAddress(NamedTuple):
-    """The address of a proxy, with the number of its zone."""
+    """The address of a proxy and the number of its zone."""
 
     zone: int
     address: Address
@@ -82,10 +82,10 @@
 
 
 def pack_address(address: Address) -> int:
-    """An IPv4 `ip:port` as 48 bits.
+    """Pack an IPv4 `ip:port` into 48 bits.
 
     Raises:
-        InvalidAddressError: It isn't one.
+        InvalidAddressError: The address is not valid.
     """
     host, _, port = address.rpartition(":")
     try:
@@ -99,7 +99,7 @@
 
 
 def unpack_address(number: int) -> Address:
-    """The `ip:port` of 48 bits: the inverse of `pack_address`."""
+    """Unpack 48 bits into an `ip:port`; the inverse of `pack_address`."""
     return f"{socket.inet_ntoa(struct.pack('>I', number >> 16 & MAX_UINT32))}:{number & MAX_PORT}"
 
 
@@ -109,17 +109,17 @@
 
 
 def encode_members(addresses: Iterable[Address], leader: Address = "") -> bytes:
-    """The value of kind `CORE`: the members' addresses, and which of them is the leader ("": none)."""
+    """Encode a value of kind `CORE`: the members' addresses, and which of them is the leader ("": none)."""
     members = list(addresses)
     position = members.index(leader) + 1 if leader in members else 0
     return pb.Members(addresses=map(pack_address, members), leader=position).SerializeToString()
 
 
 def decode_members(data: bytes) -> CoreList:
-    """Addresses and leader of a value of kind `CORE`.
+    """Decode the addresses and the leader from a value of kind `CORE`.
 
     Raises:
-        MalformedValueError: The bytes aren't one.
+        MalformedValueError: The bytes can't be decoded.
     """
     message = _parse_members(data, "list of the core's members")
     members = tuple(map(unpack_address, message.addresses))
@@ -128,7 +128,7 @@
 
 
 def members_or_none(data: bytes) -> tuple[Address, ...] | None:
-    """Addresses of a value of kind `CORE`; None if the bytes aren't one."""
+    """Decode the addresses from a value of kind `CORE`; None if the bytes can't be decoded."""
     try:
         return decode_members(data).members
     except MalformedValueError:
@@ -136,16 +136,16 @@
 
 
 def encode_ingresses(ingresses: Iterable[ZonedAddress]) -> bytes:
-    """The value of kind `INGRESSES`: the zone number and address of each."""
+    """Encode a value of kind `INGRESSES`: the zone number and address of each proxy."""
     packed = [pack_address(address) << 12 | zone for zone, address in ingresses]
     return pb.Members(addresses=packed).SerializeToString()
 
 
 def decode_ingresses(data: bytes) -> list[ZonedAddress]:
-    """Zone number and address of each ingress in a value of kind `INGRESSES`.
+    """Decode the zone number and address of each proxy from a value of kind `INGRESSES`.
 
     Raises:
-        MalformedValueError: The bytes aren't one.
+        MalformedValueError: The bytes can't be decoded.
     """
     message = _parse_members(data, "list of ingresses")
     return [ZonedAddress(number & 0xFFF, unpack_address(number >> 12)) for number in message.addresses]
@@ -159,7 +159,7 @@
 
 
 def fill_reply(reply: pb.FollowReply, now: float, records: Iterable[Record]) -> None:
-    """Put records into a reply; times become durations, left or passed, as of `now`."""
+    """Add records to a reply; points in time become durations relative to `now`."""
     names: dict[str, int] = {}
     for record in records:
         into = reply.records.add()
@@ -203,7 +203,7 @@
 
 
 def records(reply: pb.FollowReply, now: float) -> Iterator[Record]:
-    """The records of a reply. Malformed ones, with names beyond the list, are skipped."""
+    """Decode the records of a reply. Records that refer to missing names are skipped."""
     names = reply.names
     for record in reply.records:
         match record.WhichOneof("kind"):
@@ -240,7 +240,7 @@
 
 
 def value_message(record: ValueRecord) -> pb.Message:
-    """The message with a whole value, compressed if it is long; the answer to a request."""
+    """Build the response to a value request, with the complete value, compressed if it is long."""
     data = record.data or b""
     message = pb.Message()
     value = message.value
@@ -253,7 +253,7 @@
 
 
 def value_data(value: pb.Value) -> bytes | None:
-    """The bytes of a value that was received; None if they can't be decompressed."""
+    """The bytes of a received value; None if they can't be decompressed."""
     if not value.packed:
         return value.value
     try:
--- a/gateway/membership/controller.py
+++ b/gateway/membership/controller.py
@@ -1,4 +1,4 @@
-"""Membership at a controller: backend leases, its own change log, the other controllers' logs, and gossip."""
+"""Membership at a controller: backend leases, its change log, other controllers' logs, and gossip."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 class ControllerMembership:
     """The state machine of a controller, without I/O.
 
-    Calls of backends are rejected unless this process is a member of the core, since the logs of other
-    processes aren't followed.
+    Calls of backends are rejected unless this process is a member of the core, because other processes follow
+    only the logs of members.
 
     Args:
-        address: Of this process.
-        zone: The number of this process's zone.
+        address: Address of this process.
+        zone: Number of this process's zone.
         seeds: Addresses of controllers.
-        heartbeat_interval_s: The interval of a backend's heartbeats.
-        rng: For the log's id, gossip, and targets of heartbeats.
-        zone_numbers: The numbers of all zones by their names.
+        heartbeat_interval_s: Interval of a backend's heartbeats.
+        rng: Source of the log's id, and used for gossip and for the selection of heartbeat targets.
+        zone_numbers: Numbers of all zones by name.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self.view = PeerView(address, Role.CONTROLLER, zone, seeds, rng)
 
     def handle(self, now: float, event: ControllerEvent) -> list[ControllerOutput]:
-        """Handle an event at `now` (seconds of a steady clock); returns the outputs."""
+        """Handle an event at `now` (seconds of a monotonic clock); returns the outputs."""
         position = self.log.position
         outputs = self._handle(now, event)
         if self.log.position != position:
@@ -106,7 +106,7 @@
         return []
 
     def _on_heartbeat(self, now: float, heartbeat: Heartbeat) -> list[ControllerOutput]:
-        """Handle a backend's heartbeat; one that is acknowledged at once gets a target for the next ones."""
+        """Handle a backend's heartbeat; one acknowledged at once gets a target for the next ones."""
         outputs: list[ControllerOutput] = [*self.leases.on_heartbeat(now, heartbeat)]
         acknowledged = Acknowledged(heartbeat.token)
         if heartbeat.draining or acknowledged not in outputs:
@@ -133,7 +133,7 @@
         return []
 
     def _on_follow(self, now: float, sender: Address, follow: Follow) -> list[ControllerOutput]:
-        """A follower's heartbeat: it may confirm changes, and report its running configuration."""
+        """Handle a follower's heartbeat, which may confirm changes and report its running configuration."""
         outputs: list[ControllerOutput] = [*self.log.on_follow(now, sender, follow)]
         if follow.version:
             digest = follow.digest.to_bytes(DIGEST_BYTES)
@@ -144,7 +144,7 @@
         return outputs
 
     def _apply_log_update(self, now: float, update: LogUpdate) -> list[ControllerOutput]:
-        """Apply an update of another controller's log, and bring the own log in line with it."""
+        """Apply an update of another controller's log, and make the own log consistent with it."""
         backends = [r for r in update.records if not isinstance(r, ValueRecord)]
         outputs: list[ControllerOutput] = [
             *self.table.apply_update(now, update.source, update.snapshot, backends)
@@ -154,7 +154,7 @@
             outputs += self.leases.reconcile(now, backend_id)
         outputs = self.leases.reconcile_removed(now, outputs)
         for value in update.records:
-            # Configurations come by consensus.
+            # Configurations are received through consensus.
             if isinstance(value, ValueRecord) and value.kind != ValueKind.CONFIG:
                 outputs += self._apply_value_record(now, update.source, value)
         return outputs
@@ -168,14 +168,14 @@
         )
 
     def _apply_values(self, values: list[ValueUpdated]) -> list[ControllerOutput]:
-        """Output values of others, and publish them in the own log too, except configurations."""
+        """Output received values, and publish them in the own log too, except configurations."""
         for value in values:
             if value.kind != ValueKind.CONFIG:
                 self._publish(Publish(value.kind, value.fencing_token, value.data, value.digest))
         return [*values]
 
     def _publish(self, publish: Publish) -> None:
-        """Publish a value, unless a newer one of its kind is known or it can't be read."""
+        """Publish a value, unless a newer one of its kind is known or it can't be decoded."""
         record = ValueRecord(publish.kind, publish.fencing_token, publish.digest, publish.data)
         is_core = publish.kind == ValueKind.CORE
         members = codec.members_or_none(publish.data) if is_core else ()
--- a/gateway/membership/errors.py
+++ b/gateway/membership/errors.py
@@ -8,24 +8,24 @@
 
 
 class InvalidAddressError(MembershipError, ValueError):
-    """An address isn't an IPv4 `ip:port`.
+    """An address is not a valid IPv4 `ip:port`.
 
     Attributes:
         address: The address as it was given.
     """
 
     def __init__(self, address: str) -> None:
-        super().__init__(f"{address!r} is no address (ip:port)")
+        super().__init__(f"{address!r} is not an address (ip:port)")
         self.address = address
 
 
 class MalformedValueError(MembershipError, ValueError):
-    """The bytes of a published value aren't of its kind.
+    """The bytes of a published value can't be decoded as its kind.
 
     Attributes:
-        kind: What they were expected to be.
+        kind: The expected kind of value.
     """
 
     def __init__(self, kind: str, size: int) -> None:
-        super().__init__(f"{size} bytes are no {kind}")
+        super().__init__(f"{size} bytes are not a valid {kind}")
         self.kind = kind
--- a/gateway/membership/events.py
+++ b/gateway/membership/events.py
@@ -10,36 +10,36 @@
 
 
 class Received(NamedTuple):
-    """Raised when a message of another process has arrived."""
+    """Raised when a message from another process is received."""
 
     sender: Address
     message: Message
 
 
 class Tick(NamedTuple):
-    """Raised about every 50 ms: time has passed."""
+    """Raised about every 50 ms to advance timers."""
 
 
 class SetCore(NamedTuple):
-    """Raised when the core's members change: the addresses of their controllers."""
+    """Raised when the members of the core change; contains the addresses of their controllers."""
 
     addresses: tuple[Address, ...]
 
 
 class SetSeeds(NamedTuple):
-    """Raised when the settings name other seeds: the addresses of their controllers."""
+    """Raised when the settings name other seeds; contains the addresses of their controllers."""
 
     addresses: tuple[Address, ...]
 
 
 class SetQuorumContact(NamedTuple):
-    """Raised when it changes until when this controller is in contact with a majority of the core."""
+    """Raised when the end of this controller's quorum contact changes."""
 
     until: float
 
 
 class Heartbeat(NamedTuple):
-    """Raised when a backend's heartbeat has arrived. It is answered by `Acknowledged` or `Rejected`."""
+    """Raised when a backend's heartbeat is received. The answer is `Acknowledged` or `Rejected`."""
 
     token: CallToken
     id: str
@@ -54,16 +54,16 @@
 
 
 class Deregistration(NamedTuple):
-    """Raised when a backend says that it has ended. It is answered by `Acknowledged` or `Rejected`."""
+    """Raised when a backend reports that it has ended. The answer is `Acknowledged` or `Rejected`."""
 
     token: CallToken
     id: str
 
 
 class Publish(NamedTuple):
-    """Raised when a value is to be published to all processes, unless a newer one is known.
+    """Raised to publish a value to all processes, unless a newer one is known.
 
-    `kind` is a `ValueKind`, or one that only a later release knows.
+    `kind` is a `ValueKind`, or a kind that only a later release knows.
     """
 
     kind: int
@@ -73,9 +73,9 @@
 
 
 class ConfigApplied(NamedTuple):
-    """Raised when this process runs another configuration, or has made another drift finding.
+    """Raised when this process applies another configuration, or has a new drift finding.
 
-    `findings` is the number of findings so far, `finding` the latest one.
+    `findings` is the total number of findings, `finding` the latest one.
     """
 
     version: int
@@ -85,9 +85,9 @@
 
 
 class FetchConfig(NamedTuple):
-    """Raised when a configuration is to be requested now, from `source` or (if that is "") from the core.
+    """Raised to request a configuration immediately, from `source` or, if that is "", from the core.
 
-    `again`: even if it is there already.
+    With `again`, it is requested even if it has been received already.
     """
 
     version: int
--- a/gateway/membership/heartbeat_target.py
+++ b/gateway/membership/heartbeat_target.py
@@ -1,9 +1,9 @@
-"""Which controller a backend should send its next heartbeats to.
+"""Selects the controller to which a backend should send its next heartbeats.
 
-A backend that picks another controller for each heartbeat moves its lease each time: one log releases it,
-another one takes it up, and both changes go to every follower. A backend that stays costs its followers
-nothing. So each acknowledgement names a target: a live member of the core in the backend's own zone, or else
-the controller that received the heartbeat.
+If a backend selects another controller for each heartbeat, its lease moves every time: one log releases it
+and another one adds it, and every follower receives both changes. A backend that stays at one controller
+causes no changes. Each acknowledgement therefore names a target: a live member of the core in the backend's
+own zone, or else the controller that received the heartbeat.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from gateway.membership.log_follower import LogFollower
 from gateway.state_machine import Address
 
-OUT_OF_CONTACT_S = 1.0  # without contact to a majority of the core; more than an ordinary election takes
-SUGGEST_AGAIN_S = 30.0  # a backend that comes back stays for so long: it may not reach the other controller
-MAX_SUGGESTIONS = 10_000  # remembered at most
+OUT_OF_CONTACT_S = 1.0  # without contact to a majority of the core; longer than a normal election
+SUGGEST_AGAIN_S = 30.0  # a backend that returns earlier stays, because it may not reach the other controller
+MAX_SUGGESTIONS = 10_000  # maximum number of stored suggestions
 
 
 class HeartbeatTargets:
-    """Chooses targets for the backends that call one controller.
+    """Selects targets for the backends that call one controller.
 
     Args:
-        address: Of this controller.
-        zone: The number of its zone.
-        zone_numbers: The numbers of zones by the names that backends send.
-        follower: Knows the other controllers.
-        rng: Chooses among them.
+        address: Address of this controller.
+        zone: Number of its zone.
+        zone_numbers: Zone numbers by the zone names that backends send.
+        follower: Provides the state of the other controllers.
+        rng: Used to select one of them.
     """
 
     def __init__(
@@ -44,18 +44,18 @@
         self.zone_numbers = zone_numbers
         self.follower = follower
         self.rng = rng
-        self.in_contact_at: float | None = None  # when this was last so, or the first tick
-        self.suggested: dict[str, float] = {}  # by backend: when it was sent elsewhere; the oldest first
+        self.in_contact_at: float | None = None  # last time of contact, or the first tick
+        self.suggested: dict[str, float] = {}  # by backend, when another target was suggested; oldest first
 
     def tick(self, now: float, quorate: bool) -> None:
-        """Note whether this process is in contact with a majority of the core."""
+        """Record whether this process is in contact with a majority of the core."""
         if quorate or self.in_contact_at is None:
             self.in_contact_at = now
         while self.suggested and self._oldest_suggestion() <= now - SUGGEST_AGAIN_S:
             self._drop_oldest_suggestion()
 
     def choose(self, now: float, backend_id: str, zone: str, core: Collection[Address]) -> Address:
-        """The member of the core that a backend of this zone should call from now on."""
+        """The member of the core that a backend in this zone should call next."""
         if self.in_contact_at is not None and now - self.in_contact_at >= OUT_OF_CONTACT_S:
             others = [member for member in core if member != self.address]
             return self.rng.choice(others) if others else self.address
--- a/gateway/membership/leases.py
+++ b/gateway/membership/leases.py
@@ -1,4 +1,4 @@
-"""Leases of the backends whose heartbeats this process receives, and its own log of them."""
+"""Leases of the backends whose heartbeats this process receives, and the log that publishes them."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
 from gateway.membership.types import Backend, CallToken
 from gateway.state_machine import Address
 
-REJECT_AFTER_S = 0.7  # for a call without a majority; less than the second that a backend waits
+# A call is rejected after this time without a majority; less than the second that a backend waits.
+REJECT_AFTER_S = 0.7
 MAX_PENDING_CALLS = 1024
-LEASE_SLACK_S = 0.5  # of a lease, beyond `LEASE_HEARTBEATS` intervals
-LEASE_HEARTBEATS = 3  # heartbeat intervals that a lease lasts
+LEASE_SLACK_S = 0.5  # part of a lease beyond `LEASE_HEARTBEATS` intervals
+LEASE_HEARTBEATS = 3  # number of heartbeat intervals in a lease
 MAX_NAME_LENGTH = 255  # characters
 MAX_CAPACITY = (1 << 32) - 1
-SELF = ""  # this process as a source of its own table
+SELF = ""  # source name of this process in its own table
 
 T = TypeVar("T")
 
 
 class Lease:
-    """A backend as of its newest heartbeat received here, and until when the lease lasts without another."""
+    """A backend according to the newest heartbeat received here, and the end of its lease."""
 
     __slots__ = ("backend", "until")
 
@@ -43,12 +44,12 @@
 
 class _PendingCall(NamedTuple):
     token: CallToken
-    number: int  # of the change in the log that a majority must have
+    number: int  # number of the log change that a majority must confirm
     until: float
 
 
 class _Known(NamedTuple):
-    """What is known of a backend: the own lease, the row in the table, and the tombstone."""
+    """The local state of a backend: its own lease, its row in the table, and its tombstone."""
 
     lease: Lease | None
     row: BackendRow | None
@@ -56,13 +57,13 @@
 
 
 def _is_valid_name(text: str) -> bool:
-    """Whether a name can be sent to others: not too long, and without lone surrogates."""
+    """Whether a name can be sent to other processes: not too long, and without lone surrogates."""
     has_surrogates = not text.isascii() and any("\ud800" <= letter <= "\udfff" for letter in text)
     return len(text) <= MAX_NAME_LENGTH and not has_surrogates
 
 
 def is_valid(heartbeat: Heartbeat) -> bool:
-    """Whether a heartbeat can be passed on to others: its names are valid, its numbers in range."""
+    """Whether a heartbeat can be forwarded to other processes: its names and numbers are valid."""
     names = (heartbeat.id, heartbeat.service, heartbeat.address, heartbeat.zone, heartbeat.generation)
     return (
         0 <= heartbeat.seq < FINAL_SEQUENCE
@@ -74,8 +75,8 @@
 class Leases:
     """Handles heartbeats and deregistrations, writes the log, and keeps it consistent with other logs.
 
-    A lease lasts three heartbeat intervals and `LEASE_SLACK_S`. A planned end (draining, DELETE) is
-    acknowledged when a majority of the core has it in their copies of the log.
+    A lease lasts three heartbeat intervals plus `LEASE_SLACK_S`. A planned end (draining, DELETE) is
+    acknowledged once a majority of the core has stored it in its copies of the log.
     """
 
     def __init__(
@@ -91,10 +92,9 @@
         self.ticked_at: float | None = None
 
     def on_heartbeat(self, now: float, heartbeat: Heartbeat) -> list[CallAnswer | BackendChange]:
-        """Handle a backend's heartbeat: renew its lease, and acknowledge it.
+        """Handle a backend's heartbeat: renew its lease and acknowledge it.
 
-        A heartbeat that says that the backend drains is acknowledged only when a majority of the core has
-        that.
+        A heartbeat that announces draining is acknowledged only after a majority of the core has stored it.
         """
         if self.address not in self.core or not is_valid(heartbeat):
             return [Rejected(heartbeat.token)]
@@ -106,18 +106,18 @@
         return [*changes, *self._await_majority(now, heartbeat.token, self.log.number(heartbeat.id))]
 
     def _renew(self, now: float, heartbeat: Heartbeat) -> list[BackendChange] | None:
-        """Renew a lease, or begin one; None if there is no room for it."""
+        """Renew or start a lease; None if there are too many leases."""
         lease, row, tombstone = self._known(heartbeat.id)
         if lease is None and len(self.leases) >= self.table.max_rows:
             return None
-        known = lease.backend if lease else row.backend if row else None
+        newest = lease.backend if lease else row.backend if row else None
         if tombstone is not None and heartbeat.seq <= tombstone.seq:
             return []
-        if known is not None and heartbeat.seq <= known.seq:
+        if newest is not None and heartbeat.seq <= newest.seq:
             return []
         first_heard_at = now
-        if known is not None:
-            first_heard_at = known.first_heard_at
+        if newest is not None:
+            first_heard_at = newest.first_heard_at
         elif tombstone is not None:
             first_heard_at = min(now, tombstone.first_heard_at)
         backend = _backend(now, heartbeat, first_heard_at)
@@ -128,18 +128,18 @@
         return []
 
     def _publish_lease(self, now: float, backend: Backend) -> list[BackendChange]:
-        """Have a lease on a backend from now on, and publish it in the log."""
+        """Take over the lease of a backend, and publish it in the log."""
         changes = self.table.record(now, SELF, LeaseRecord(backend))
         row = self.table.rows.get(backend.id)
         if row is not None and SELF in row.lease_holders:
             self.leases[backend.id] = Lease(row.backend, now + self.duration_s)
             self.log.put(backend.id, LeaseRecord(row.backend))
-        else:  # its address is another's by now
+        else:  # another backend now has its address
             self.leases.pop(backend.id, None)
         return self.reconcile_removed(now, changes)
 
     def on_deregistration(self, now: float, call: Deregistration) -> list[CallAnswer | BackendChange]:
-        """A backend says that it has ended: publish that, and answer when a majority has it."""
+        """Handle a backend's deregistration: publish it, and answer once a majority has stored it."""
         if self.address not in self.core or not _is_valid_name(call.id):
             return [Rejected(call.token)]
         changes = self.table.end(now, SELF, call.id, FINAL_SEQUENCE)
@@ -147,10 +147,10 @@
         return [*changes, *self._await_majority(now, call.token, self.log.number(call.id))]
 
     def tick(self, now: float, quorate: bool) -> list[CallAnswer | BackendChange]:
-        """Expire leases, and reject calls that weren't confirmed in time.
+        """Expire leases, and reject calls that were not confirmed in time.
 
-        The time of leases is suspended while this process is cut off from the core (heartbeats may go
-        elsewhere) and while it was paused.
+        Leases don't expire while this process is disconnected from the core, because heartbeats may go
+        elsewhere, or while it was paused.
         """
         passed = now - self.ticked_at if self.ticked_at is not None else 0.0
         self.ticked_at = now
@@ -166,10 +166,10 @@
         return outputs
 
     def reconcile(self, now: float, backend_id: str) -> list[BackendChange]:
-        """Bring the own log in line with the table for this backend.
+        """Make the own log consistent with the table for this backend.
 
-        Another controller may receive its heartbeats by now, or may report something older than what was
-        heard here, or a planned end that is to be relayed.
+        Another controller may now receive its heartbeats, or may report an older state than the one received
+        here, or a planned end that has to be relayed.
         """
         lease, row, tombstone = self._known(backend_id)
         published = self.log.get(backend_id)
@@ -189,7 +189,7 @@
     def _publish_without_lease(
         self, now: float, backend_id: str, known: _Known, published: Record | None
     ) -> None:
-        """Bring the own log in line for a backend on which this process has no lease."""
+        """Make the own log consistent for a backend whose lease this process doesn't have."""
         if known.row is not None:
             if known.row.backend.draining:
                 is_relayed = (
@@ -209,7 +209,7 @@
 
     @staticmethod
     def _is_current(published: Record | None, row: BackendRow, tombstone: EndRecord | None) -> bool:
-        """Whether the lease in the own log is the newest that any source reports of the backend."""
+        """Whether the lease in the own log is the newest state reported by any source."""
         return (
             isinstance(published, LeaseRecord)
             and not published.relay
@@ -225,7 +225,7 @@
         )
 
     def reconcile_removed(self, now: float, outputs: Sequence[T]) -> list[T | BackendChange]:
-        """After outputs that remove backends: end their leases, and record that in the own log."""
+        """End the leases of backends removed by these outputs, and record that in the own log."""
         reconciled: list[T | BackendChange] = list(outputs)
         for output in outputs:
             if isinstance(output, BackendRemoved):
@@ -240,7 +240,7 @@
         return [*self.confirmed_calls()]
 
     def confirmed_calls(self) -> list[Acknowledged]:
-        """Acknowledge the calls whose changes a majority of the core has by now."""
+        """Acknowledge the calls whose changes a majority of the core has confirmed."""
         acknowledged: list[Acknowledged] = []
         still_pending = deque[_PendingCall]()
         others = [member for member in self.core if member != self.address]
--- a/gateway/membership/log_follower.py
+++ b/gateway/membership/log_follower.py
@@ -1,4 +1,4 @@
-"""Following the change logs of several sources: heartbeats to them, and the position in each log."""
+"""Follows the change logs of several sources: sends heartbeats, and tracks the position in each log."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from gateway.membership.codec import Record
 from gateway.state_machine import LONG_AGO, Address, Send
 
-HEARTBEAT_S = 0.4  # between two heartbeats to a source
-SLOW_HEARTBEAT_S = 1.0  # to a source that has been silent for `SLOW_AFTER_S`
+HEARTBEAT_S = 0.4  # interval of heartbeats to a source
+SLOW_HEARTBEAT_S = 1.0  # interval for a source that has been unresponsive for `SLOW_AFTER_S`
 SLOW_AFTER_S = 5.0
-FIRST_HEARTBEAT_S = 0.1  # to a source not heard yet, which may be starting
-STARTUP_S = 2.0  # for how long after it is first followed a source may be starting
-SOURCE_TIMEOUT_S = 1.5  # a source not heard for so long is unresponsive
-REQUEST_INTERVAL_S = 0.05  # between two requests for missing changes
-# After a change, and to unresponsive sources, each heartbeat reports the running configuration;
+FIRST_HEARTBEAT_S = 0.1  # interval for a source without contact yet, which may be starting
+STARTUP_S = 2.0  # a source may be starting for this long after it is first followed
+SOURCE_TIMEOUT_S = 1.5  # a source is unresponsive after this time without contact
+REQUEST_INTERVAL_S = 0.05  # minimum interval of requests for missing changes
+# For this long after a change, and to unresponsive sources, each heartbeat reports the running configuration.
 REPORT_S = 2.0
-REPORT_EVERY = 2  # otherwise one heartbeat in so many does
+REPORT_EVERY = 2  # otherwise, one in this many heartbeats reports it
 NO_ZONE = -1
 
 
 class LogUpdate(NamedTuple):
-    """Records received of a source's log; a `snapshot` has all that the log holds."""
+    """Records received from a source's log; a `snapshot` contains all records of the log."""
 
     source: Address
     snapshot: bool
@@ -32,14 +32,14 @@
 
 
 class LostSource(NamedTuple):
-    """A source that is lost, and when it was last heard."""
+    """A lost source, and the time of the last contact with it."""
 
     address: Address
     last_contact_at: float
 
 
 class ConfirmedConfig(NamedTuple):
-    """A configuration version, and the time as of which a majority surely had it as the newest."""
+    """A configuration version, and a time at which a majority is known to have had it as the newest."""
 
     version: int
     at: float
@@ -78,40 +78,41 @@
         self.next_heartbeat_at = now
         self.requested_at = LONG_AGO
         self.quorate = False
-        self.unreachable = frozenset[int]()  # hashes of the addresses of sources that it doesn't hear
+        self.unreachable = frozenset[int]()  # hashes of the addresses of sources that it has no contact with
         self.zone = NO_ZONE
         self.declared_lost = False
-        self.last_heartbeats = (LONG_AGO, LONG_AGO)  # when the last two heartbeats went out
-        self.synced_at = LONG_AGO  # at that time nothing of its log was missing here
-        self.config_version = 0  # the newest configuration version in its log
+        self.last_heartbeats = (LONG_AGO, LONG_AGO)  # send times of the last two heartbeats
+        self.synced_at = LONG_AGO  # the local copy of its log was complete at this time
+        self.config_version = 0  # newest configuration version in its log
         self.reports_sent = 0  # heartbeats sent, for `REPORT_EVERY`
 
     @property
     def active_at(self) -> float:
-        """When it was last heard, or first followed."""
+        """The time of the last contact, or when it was first followed."""
         return max(self.last_contact_at, self.followed_since)
 
     def heartbeat_interval(self, now: float, usual: float) -> float:
-        """Seconds to the next heartbeat."""
-        is_unheard = self.last_contact_at < self.followed_since
-        if is_unheard and now - self.followed_since < STARTUP_S:
+        """Seconds until the next heartbeat."""
+        has_no_contact = self.last_contact_at < self.followed_since
+        if has_no_contact and now - self.followed_since < STARTUP_S:
             return FIRST_HEARTBEAT_S
         return usual if now - self.active_at < SLOW_AFTER_S else SLOW_HEARTBEAT_S
 
     def mark_synced(self, reply: pb.FollowReply) -> None:
-        """Nothing of the log is missing, by a reply to the last heartbeat or the one before.
+        """Record that the local copy is complete according to a reply to one of the last two heartbeats.
 
-        It counts as of that earlier one: no heartbeat before that is answered so late, nor one from before
-        the source was followed.
+        The send time of the earlier heartbeat is recorded. No older heartbeat is answered so late, and no
+        heartbeat sent before the source was followed counts.
         """
         if reply.quorate:
             self.synced_at = max(self.last_heartbeats[0], self.followed_since)
 
 
 class LogFollower:
-    """Tracks the position reached in each source's log.
+    """Tracks the position reached in the log of each source.
 
-    `heartbeat_interval_s` is the usual interval of heartbeats; an ingress gives the number of its zone.
+    `heartbeat_interval_s` is the usual interval of heartbeats; a proxy sets `ingress_zone` to its zone
+    number.
     """
 
     def __init__(self, heartbeat_interval_s: float = HEARTBEAT_S, ingress_zone: int = NO_ZONE) -> None:
@@ -126,13 +127,13 @@
     ) -> None:
         """Set the running configuration that heartbeats report.
 
-        Each heartbeat does for `REPORT_S`, then one in `REPORT_EVERY`.
+        All heartbeats report it for `REPORT_S`; afterwards one in `REPORT_EVERY` does.
         """
         self.running_config = _ReportedConfig(version, digest, findings, finding)
         self.running_config_at = now
 
     def follow(self, now: float, addresses: Iterable[Address]) -> list[Address]:
-        """Follow exactly these sources from now on; returns those that are no longer followed."""
+        """Follow exactly these sources from now on; returns the sources that are no longer followed."""
         wanted = dict.fromkeys(addresses)
         dropped = [address for address in self.sources if address not in wanted]
         for address in dropped:
@@ -151,7 +152,7 @@
         ]
 
     def _heartbeat(self, now: float, address: Address, state: _SourceState, quiet: bool = False) -> Send:
-        """Say up to which position the log is here; `quiet`: answer only if something is missing."""
+        """Build a heartbeat with the local position; `quiet`: reply only if changes are missing."""
         state.next_heartbeat_at = now + state.heartbeat_interval(now, self.heartbeat_interval_s)
         message = pb.Message()
         follow = message.follow
@@ -182,7 +183,8 @@
         """Handle a reply or a push.
 
         Returns:
-            What to send (a confirmation, or a request for what is missing), and the update received, if any.
+            Messages to send (a confirmation, or a request for missing changes), and the received update, if
+            any.
         """
         state = self.sources.get(sender)
         if state is None:
@@ -213,8 +215,8 @@
     def confirmed_config(self, now: float, members: Collection[Address]) -> ConfirmedConfig | None:
         """The newest configuration version in the logs of the quorate sources among these members.
 
-        None unless a majority of the members have it. The time is that as of which this is certain: the
-        heartbeats that they answered so were sent then or later.
+        It is None unless a majority of the members have it. The time is the earliest send time of the
+        heartbeats that confirmed this.
         """
         confirming = [
             state
@@ -233,26 +235,26 @@
         return ConfirmedConfig(version, synced_times[len(members) // 2])
 
     def reachable(self, now: float) -> list[Address]:
-        """Sources that were heard within `SOURCE_TIMEOUT_S`."""
+        """Sources with contact within `SOURCE_TIMEOUT_S`."""
         return [a for a, state in self.sources.items() if now - state.last_contact_at < SOURCE_TIMEOUT_S]
 
     def quorate(self, now: float) -> list[Address]:
-        """Sources heard lately that are in contact with a majority of the core."""
+        """Reachable sources that are in contact with a majority of the core."""
         return [a for a in self.reachable(now) if self.sources[a].quorate]
 
     def unresponsive(self, now: float) -> list[Address]:
-        """Sources that weren't heard within `SOURCE_TIMEOUT_S`, and have been followed for longer."""
+        """Sources without contact within `SOURCE_TIMEOUT_S` that have been followed for longer than that."""
         return [a for a, state in self.sources.items() if now - state.active_at >= SOURCE_TIMEOUT_S]
 
     def suspicions(self, now: float) -> list[frozenset[int]]:
-        """For each quorate source in reach, the hashes of the addresses that it reports as unreachable."""
+        """For each reachable quorate source, the hashes of the addresses that it reports as unreachable."""
         return [self.sources[a].unreachable for a in self.quorate(now)]
 
     def lost(self, now: float, grace_s: float) -> list[LostSource]:
-        """Sources that have been silent for `grace_s` seconds to this process and to others.
+        """Sources that neither this process nor any other source has had contact with for `grace_s` seconds.
 
-        These are all quorate sources in reach, by their reports; no source is lost if there is none. Each is
-        returned once; a source that comes back later is followed from the beginning.
+        The other sources are all reachable quorate sources, according to their reports; without any, no
+        source is lost. Each source is returned once; one that returns later is followed from the beginning.
         """
         suspicions = self.suspicions(now)
         if not suspicions:
--- a/gateway/membership/outputs.py
+++ b/gateway/membership/outputs.py
@@ -1,4 +1,4 @@
-"""Outputs of the membership state machines, besides messages to other processes (`Send`)."""
+"""Outputs of the membership state machines in addition to messages to other processes (`Send`)."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 class Acknowledged(NamedTuple):
-    """Answer a backend's call with 200, and name the controller for its later heartbeats ("": none)."""
+    """Answer a backend's call with 200, and name the controller for its next heartbeats ("": none)."""
 
     token: CallToken
     target: Address = ""
 
 
 class Rejected(NamedTuple):
-    """Answer a backend's call with 503: it is to try another controller."""
+    """Answer a backend's call with 503, so that it tries another controller."""
 
     token: CallToken
 
 
 class BackendAdded(NamedTuple):
-    """A backend that was not known."""
+    """A backend was added to the table."""
 
     backend: Backend
 
 
 class BackendChanged(NamedTuple):
-    """A known backend has changed significantly, for example has begun to drain."""
+    """A backend has changed significantly, for example it has started to drain."""
 
     backend: Backend
 
 
 class BackendRemoved(NamedTuple):
-    """A backend is gone: no more requests may be sent to it."""
+    """A backend was removed; no more requests may be sent to it."""
 
     id: str
 
@@ -42,7 +42,7 @@
 class ValueUpdated(NamedTuple):
     """The newest value of a kind. It may be repeated, and versions may be skipped.
 
-    `kind` is a `ValueKind`, or one that only a later release knows.
+    `kind` is a `ValueKind`, or a kind that only a later release knows.
     """
 
     kind: int
@@ -52,7 +52,7 @@
 
 
 class ConfigAdvertised(NamedTuple):
-    """The process `source` has this configuration ("": it is known to exist). `digest` has 8 bytes."""
+    """The process `source` has this configuration ("": it is known to exist); `digest` has 8 bytes."""
 
     version: int
     digest: bytes
@@ -60,9 +60,9 @@
 
 
 class RunningConfig(NamedTuple):
-    """A follower reports the configuration that it runs, with 8 bytes of the digest.
+    """A follower reports its running configuration, with the first 8 bytes of the digest.
 
-    `findings` is the number of its drift findings so far, `finding` the latest one.
+    `findings` is the total number of its drift findings, `finding` the latest one.
     """
 
     node: Address
@@ -73,7 +73,7 @@
 
 
 class CoreMembers(NamedTuple):
-    """Newer members of the core, learned by gossip from peers."""
+    """Newer members of the core, learned from peers by gossip."""
 
     members_version: FencingToken
     members: tuple[Address, ...]
--- a/gateway/membership/peer_view.py
+++ b/gateway/membership/peer_view.py
@@ -1,4 +1,4 @@
-"""Gossip membership: partial views of the processes, shuffled between peers, with the newest versions."""
+"""Gossip membership: partial views that peers shuffle between each other, and the newest known versions."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from gateway.state_machine import LONG_AGO, Address, FencingToken, Send
 
 VIEW_SIZE = 8
-SHUFFLE_INTERVAL_S = 1.0  # between two shuffles
-SHUFFLE_JITTER = 0.1  # by which that interval varies
-EXPEDITED_INTERVAL_S = 0.25  # between two shuffles while there is something new to pass on
-# One shuffle in so many goes to a process outside the view, so that partitions find each other again.
+SHUFFLE_INTERVAL_S = 1.0  # interval of shuffles
+SHUFFLE_JITTER = 0.1  # relative variation of that interval
+EXPEDITED_INTERVAL_S = 0.25  # interval of shuffles while there is new information to spread
+# One in this many shuffles goes to a process outside of the view, so that partitions can merge again.
 OUTSIDE_PEER_EVERY = 5
-MAX_UNRESPONSIVE_PEERS = 8  # peers that gave no answer and are tried again
+MAX_UNRESPONSIVE_PEERS = 8  # unresponsive peers that are contacted again
 MAX_CORE_MEMBERS = 16
-MAX_AGE = 255  # shuffles
+MAX_AGE = 255  # in shuffles
 MAX_SHUFFLE_NUMBER = 0xFFFF
 DIGEST_BYTES = 8
 
 PackedAddress = int
-"""48 bits: IPv4 address and port."""
+"""An IPv4 address and port in 48 bits."""
 
 PackedPeer = int
-"""64 bits: packed address, zone (12 bits) and role (4 bits)."""
+"""A packed address, a zone (12 bits) and a role (4 bits) in 64 bits."""
 
 
 class PeerEntry(NamedTuple):
-    """An entry of a view; its age in shuffles. `role` is a `Role`, or one that only a later release knows."""
+    """An entry of a view; its age in shuffles. `role` is a `Role`, or one of a later release."""
 
     address: Address
     role: int
@@ -41,33 +41,33 @@
 
 
 class AgedPeer(NamedTuple):
-    """A packed peer, and its age in shuffles."""
+    """A packed peer and its age in shuffles."""
 
     peer: PackedPeer
     age: int
 
 
 class ConfigVersion(NamedTuple):
-    """A configuration: version (0: none) and the first bytes of its digest."""
+    """A configuration: its version (0: none) and the first bytes of its digest."""
 
     version: int = 0
     digest: int = 0
 
 
 class PeerView:
-    """Exchanges half of its entries with its oldest peer each second; a peer that doesn't answer is dropped.
+    """Exchanges half of its entries with its oldest peer every second, and removes peers that don't answer.
 
-    Seeds are contacted while the view is empty, and occasionally later. At most four shuffles a second are
-    begun, one while there is nothing new; each one received is answered. Each message holds at most half a
-    view and 16 members of the core.
+    Seeds are contacted while the view is empty, and occasionally later. It starts at most four shuffles per
+    second, or one if there is nothing new to spread, and answers each shuffle that it receives. A message
+    contains at most half a view and 16 members of the core.
 
     Args:
-        address: Of this process.
-        role: Of this process.
+        address: Address of this process.
+        role: Role of this process.
         zone: A number from 0 to 4095.
         seeds: Addresses to contact while no peers are known.
-        rng: Chooses peers and entries.
-        size: Entries in the view.
+        rng: Used to select peers and entries.
+        size: Number of entries in the view.
     """
 
     def __init__(
@@ -85,22 +85,22 @@
         self.own_peer: PackedPeer = pack_address(address) << 16 | zone << 4 | role
         self.seeds: list[PackedAddress] = []
         self.set_seeds(seeds)
-        self.entries: dict[PackedPeer, int] = {}  # by peer, its age
+        self.entries: dict[PackedPeer, int] = {}  # age by peer
         self.unresponsive_peers: list[PackedAddress] = []
         self.members_version = FencingToken(0, 0)
         self.members: tuple[PackedAddress, ...] = ()
-        self.current_config = ConfigVersion()  # of this process
-        self.newest_config = ConfigVersion()  # that is known to exist
+        self.current_config = ConfigVersion()  # configuration of this process
+        self.newest_config = ConfigVersion()  # newest configuration that is known to exist
         self.shuffle_number = 0
         self.shuffle_count = 0
-        self.awaits_reply_from: PackedAddress | None = None  # of the last shuffle
-        self.sent_peers: list[PackedPeer] = []  # with the last shuffle
+        self.awaits_reply_from: PackedAddress | None = None  # partner of the last shuffle
+        self.sent_peers: list[PackedPeer] = []  # sent with the last shuffle
         self.last_shuffle_at = LONG_AGO
         self.next_shuffle_at = LONG_AGO
-        self.expedite = False  # there is something new to pass on
+        self.expedite = False  # there is new information to spread
 
     def peers(self) -> list[PeerEntry]:
-        """The entries of the present view."""
+        """The entries of the current view."""
         return [
             PeerEntry(unpack_address(peer >> 16), peer & 15, peer >> 4 & 4095, age)
             for peer, age in self.entries.items()
@@ -111,7 +111,7 @@
         self.seeds = [seed for seed in map(pack_address, seeds) if seed != self.own_peer >> 16]
 
     def set_core_members(self, members_version: FencingToken, members: Iterable[Address]) -> bool:
-        """Set the members of the core, as known from elsewhere; returns whether they are newer."""
+        """Set the members of the core as learned elsewhere; returns whether they are newer."""
         if members_version <= self.members_version:
             return False
         self.members_version = members_version
@@ -120,14 +120,14 @@
         return True
 
     def set_current_config(self, version: int, digest: bytes) -> None:
-        """Set the configuration that this process has, to be advertised to peers."""
+        """Set the configuration of this process, which is advertised to peers."""
         prefix = digest[:DIGEST_BYTES].ljust(DIGEST_BYTES, b"\0")
         self.current_config = ConfigVersion(version, int.from_bytes(prefix, "big"))
         self.expedite = self.expedite or version > self.newest_config.version
         self.newest_config = max(self.newest_config, self.current_config, key=lambda c: c.version)
 
     def tick(self, now: float) -> list[Send]:
-        """Begin a shuffle if one is due."""
+        """Start a shuffle if one is due."""
         is_expedited = self.expedite and now - self.last_shuffle_at >= EXPEDITED_INTERVAL_S
         if now < self.next_shuffle_at and not is_expedited:
             return []
@@ -149,24 +149,24 @@
         return [Send(unpack_address(partner), message)]
 
     def _drop_unresponsive(self) -> None:
-        """Drop the peer that didn't answer the last shuffle."""
-        gone = self.awaits_reply_from
+        """Remove the peer that didn't answer the last shuffle."""
+        unresponsive = self.awaits_reply_from
         self.awaits_reply_from = None
-        if gone is None:
+        if unresponsive is None:
             return
-        self.unresponsive_peers = [address for address in self.unresponsive_peers if address != gone]
-        for peer in [peer for peer in self.entries if peer >> 16 == gone]:
+        self.unresponsive_peers = [address for address in self.unresponsive_peers if address != unresponsive]
+        for peer in [peer for peer in self.entries if peer >> 16 == unresponsive]:
             del self.entries[peer]
-            self.unresponsive_peers = [*self.unresponsive_peers, gone][-MAX_UNRESPONSIVE_PEERS:]
+            self.unresponsive_peers = [*self.unresponsive_peers, unresponsive][-MAX_UNRESPONSIVE_PEERS:]
 
     def _choose_partner(self) -> PackedAddress | None:
-        """The oldest peer; one time in `OUTSIDE_PEER_EVERY`, or without any peer, one outside the view."""
+        """The oldest peer; one time in `OUTSIDE_PEER_EVERY`, or without any, one outside the view."""
         self.shuffle_count += 1
         if self.entries and self.shuffle_count % OUTSIDE_PEER_EVERY:
             return self._oldest_peer()
-        known = {peer >> 16 for peer in self.entries} | {self.own_peer >> 16}
+        own_addresses = {peer >> 16 for peer in self.entries} | {self.own_peer >> 16}
         candidates = dict.fromkeys([*self.unresponsive_peers, *self.seeds, *self.members])
-        outside = [address for address in candidates if address not in known]
+        outside = [address for address in candidates if address not in own_addresses]
         if outside:
             return self.rng.choice(outside)
         return self._oldest_peer() if self.entries else None
@@ -191,7 +191,7 @@
             shuffle.newest, shuffle.newest_digest = self.newest_config
 
     def on_shuffle_request(self, sender: Address, shuffle: pb.Shuffle) -> list[GossipOutput]:
-        """Handle a shuffle request; returns its reply, and what is newer than what was known here."""
+        """Handle a shuffle request; returns its reply, and information that is newer than the local one."""
         outputs = self._learn(sender, shuffle)
         sent_peers = self._sample_peers(self.size // 2, pack_address(sender))
         message = pb.Message()
@@ -202,7 +202,7 @@
         return [*outputs, Send(sender, message)]
 
     def on_shuffle_reply(self, sender: Address, shuffle: pb.Shuffle) -> list[GossipOutput]:
-        """Handle the reply to a shuffle request; returns what is newer than what was known here.
+        """Handle the reply to a shuffle request; returns information that is newer than the local one.
 
         If the sender doesn't know the newest members of the core, they are sent to it.
         """
@@ -223,7 +223,7 @@
         return [AgedPeer(peer, age) for peer, age in pairs][: self.size]
 
     def _learn(self, sender: Address, shuffle: pb.Shuffle) -> list[GossipOutput]:
-        """Take the versions in a shuffle; returns what is newer than what was known here."""
+        """Apply the versions in a shuffle; returns information that is newer than the local one."""
         outputs: list[GossipOutput] = []
         members_version = FencingToken(shuffle.term, shuffle.index)
         if shuffle.core and members_version > self.members_version:
@@ -245,7 +245,7 @@
     def _merge(
         self, entries: list[AgedPeer], sent_peers: list[PackedPeer], partner: PackedAddress | None
     ) -> None:
-        """Merge received entries: into free places, then replacing those sent away, then the partner."""
+        """Merge received entries: fill free places, then replace the sent entries, then the partner."""
         peer_by_address = {peer >> 16: peer for peer in self.entries}
         replaceable = [peer for peer in sent_peers if peer in self.entries]
         if partner in peer_by_address:
@@ -254,13 +254,13 @@
             address = peer >> 16
             if address == self.own_peer >> 16:
                 continue
-            known = peer_by_address.get(address)
-            if known is not None:
-                if age < self.entries[known]:
-                    del self.entries[known]
+            existing = peer_by_address.get(address)
+            if existing is not None:
+                if age < self.entries[existing]:
+                    del self.entries[existing]
                     self.entries[peer] = age
                     peer_by_address[address] = peer
-                    replaceable = [other for other in replaceable if other != known]
+                    replaceable = [other for other in replaceable if other != existing]
                 continue
             if len(self.entries) >= self.size:
                 if not replaceable:
--- a/gateway/membership/proxy.py
+++ b/gateway/membership/proxy.py
@@ -1,4 +1,4 @@
-"""Membership at a proxy: it follows the change logs of the core's controllers, and gossips with peers."""
+"""Membership at a proxy: follows the change logs of the core's controllers, and gossips with peers."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from gateway.membership.value_transfer import OTHER_ZONE_DELAY_S, ValueFetcher, ValueStore
 from gateway.state_machine import Address, FencingToken, Send
 
-ISOLATED_S = 3.0  # without any quorate source in reach, seeds and known controllers are followed too
-PEER_FETCH_DELAY_S = 1.0  # before a configuration is requested from a peer rather than from the core
+ISOLATED_S = 3.0  # after this time without a quorate source, seeds and known controllers are followed too
+PEER_FETCH_DELAY_S = 1.0  # delay before a configuration is requested from a peer instead of the core
 
 
 class ProxyMembership:
@@ -42,10 +42,10 @@
     It follows the seeds until it learns the members of the core.
 
     Args:
-        address: Of this process.
-        zone: The number of this process's zone.
+        address: Address of this process.
+        zone: Number of this process's zone.
         seeds: Addresses of controllers.
-        rng: For gossip.
+        rng: Used for gossip.
     """
 
     def __init__(self, address: Address, zone: int, seeds: Sequence[Address], rng: random.Random) -> None:
@@ -57,15 +57,15 @@
         self.value_store = ValueStore()
         self.view = PeerView(address, Role.PROXY, zone, seeds, rng)
         self.core: tuple[Address, ...] = ()
-        self.quorate_heard_at: float | None = None  # when a quorate source was last in reach
+        self.quorate_contact_at: float | None = None  # last contact with a quorate source
         self.started = False
         self.isolated = False
 
     def handle(self, now: float, event: ProxyEvent) -> list[ProxyOutput]:
-        """Handle an event at `now` (seconds of a steady clock); returns the outputs."""
+        """Handle an event at `now` (seconds of a monotonic clock); returns the outputs."""
         if not self.started:
             self.started = True
-            self.quorate_heard_at = now
+            self.quorate_contact_at = now
             self._follow(now)
         match event:
             case Received(sender, message):
@@ -93,7 +93,7 @@
                 assert_never(event)
 
     def confirmed_config(self, now: float) -> ConfirmedConfig | None:
-        """The configuration version that a majority of the core has as the newest.
+        """The configuration version that a majority of the core reports as the newest.
 
         See `LogFollower.confirmed_config`.
         """
@@ -125,7 +125,7 @@
         return outputs
 
     def _fetch(self, now: float, event: FetchConfig) -> list[ProxyOutput]:
-        """Request a configuration at once, from its source or from all sources heard lately."""
+        """Request a configuration immediately, from its source or from all sources in contact."""
         fencing_token = FencingToken(0, event.version)
         self.value_fetcher.set_target(ValueKind.CONFIG, fencing_token, event.again)
         sources = [event.source] if event.source else self.follower.reachable(now)
@@ -158,7 +158,7 @@
         return outputs
 
     def _follow_core(self, now: float, value: ValueUpdated) -> list[Send]:
-        """Follow the members of the core that a value names."""
+        """Follow the members of the core named by a value."""
         members = codec.members_or_none(value.data)
         if not members:
             return []
@@ -168,7 +168,7 @@
         return self.follower.tick(now)
 
     def _apply_gossip(self, now: float, gossip: Sequence[GossipOutput]) -> list[ProxyOutput]:
-        """Act on what gossip says of the core's members and of newer configurations."""
+        """Handle the core members and newer configurations learned by gossip."""
         outputs: list[ProxyOutput] = list(gossip)
         for output in gossip:
             if isinstance(output, CoreMembers):
@@ -182,9 +182,9 @@
         return outputs
 
     def _follow(self, now: float, isolated: bool = False) -> None:
-        """Follow the core; while it is unknown, the seeds.
+        """Follow the core, or the seeds while the core is unknown.
 
-        While `isolated` from it, follow the seeds and all known controllers too.
+        While `isolated` from the core, also follow the seeds and all known controllers.
         """
         wanted = list(self.core) if self.core else list(self.seeds)
         if isolated:
@@ -197,11 +197,11 @@
     def _tick(self, now: float) -> list[ProxyOutput]:
         quorate = self.follower.quorate(now)
         if quorate:
-            self.quorate_heard_at = now
+            self.quorate_contact_at = now
             if self.isolated and any(address in self.core for address in quorate):
                 self._follow(now)
-        elif self.quorate_heard_at is not None and now - self.quorate_heard_at > ISOLATED_S:
-            self.quorate_heard_at = now  # begins the next period
+        elif self.quorate_contact_at is not None and now - self.quorate_contact_at > ISOLATED_S:
+            self.quorate_contact_at = now  # starts the next period
             self._follow(now, isolated=True)
         outputs: list[ProxyOutput] = [
             *self.follower.tick(now),
--- a/gateway/membership/types.py
+++ b/gateway/membership/types.py
@@ -1,4 +1,4 @@
-"""Types that the membership's state machines share."""
+"""Types shared by the state machines of the membership package."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ValueKind(IntEnum):
-    """Kinds of published values, of each of which only the newest counts."""
+    """Kinds of published values; only the newest value of each kind counts."""
 
     CORE = 1  # the core's members, and the leader
     CONFIG = 2  # the configuration
@@ -19,18 +19,18 @@
 
 
 class Role(IntEnum):
-    """What a process is, in a peer view."""
+    """The role of a process in a peer view."""
 
     PROXY = 1
     CONTROLLER = 2
 
 
 CallToken = Hashable
-"""Identifies a backend's call to whoever passes it in; it comes back with the answer."""
+"""Identifies a backend's call for its caller; it is returned with the answer."""
 
 
 class Backend(NamedTuple):
-    """A backend under lease. Times are in seconds of this process's steady clock."""
+    """A backend under lease. Times are in seconds of this process's monotonic clock."""
 
     id: str
     service: str
@@ -39,6 +39,6 @@
     generation: str
     capacity: int
     draining: bool = False
-    slow_start_until: float = 0.0  # 0.0 or past: it is warm
+    slow_start_until: float = 0.0  # it is warm if this is 0.0 or has passed
     seq: int = 0  # the `call-seq` of its newest heartbeat
-    first_heard_at: float = 0.0  # when this instance was first heard, by any process
+    first_heard_at: float = 0.0  # when any process first received a heartbeat of this instance
--- a/gateway/membership/value_transfer.py
+++ b/gateway/membership/value_transfer.py
@@ -1,4 +1,4 @@
-"""Transfer of values that are too large for a log: which sources have them, and which to ask."""
+"""Transfer of values that are too large for a log: the sources of each value, and requests to them."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 from gateway.membership.outputs import ValueUpdated
 from gateway.state_machine import LONG_AGO, Address, FencingToken, Send
 
-OTHER_ZONE_DELAY_S = 0.1  # before a source in another zone is asked; one in this zone may have it by then
-FETCH_RETRY_S = 0.5  # until another source is asked if no value has come
+# Delay before a source in another zone is asked, because one in this zone may get the value soon.
+OTHER_ZONE_DELAY_S = 0.1
+FETCH_RETRY_S = 0.5  # delay before another source is asked if no value has arrived
 MAX_SOURCES = 16
 OLDEST = FencingToken(-1, -1)
 
@@ -19,25 +20,25 @@
 
     def __init__(self, fencing_token: FencingToken) -> None:
         self.fencing_token = fencing_token
-        self.sources: dict[Address, float] = {}  # by address, the time from which each may be asked
+        self.sources: dict[Address, float] = {}  # by address, the time from which the source may be asked
         self.requested_at = LONG_AGO
 
 
 class ValueFetcher:
-    """Requests the newest value of each kind from one source at a time, those in this zone first."""
+    """Requests the newest value of each kind from one source at a time, preferring sources in this zone."""
 
     def __init__(self) -> None:
         self.newest_fetched: dict[int, FencingToken] = {}
         self.pending_fetches: dict[int, _PendingFetch] = {}
 
     def is_newer(self, kind: int, fencing_token: FencingToken) -> bool:
-        """Whether a value with this token is newer than the one that was fetched last."""
+        """Whether a value with this token is newer than the last one received."""
         return fencing_token > self.newest_fetched.get(kind, OLDEST)
 
     def set_target(self, kind: int, fencing_token: FencingToken, again: bool) -> None:
-        """Stop fetching a value newer than this one, as no source may have it.
+        """Stop fetching a value newer than this one, because no source may have it.
 
-        With `again`, fetch this one even if it was fetched before.
+        With `again`, fetch this value even if it was received before.
         """
         pending = self.pending_fetches.get(kind)
         if pending is not None and pending.fencing_token > fencing_token:
@@ -48,10 +49,10 @@
     def add_source(
         self, now: float, kind: int, fencing_token: FencingToken, source: Address, wait_s: float
     ) -> list[Send]:
-        """Note that a source has this value and may be asked in `wait_s` seconds.
+        """Record that a source has this value and may be asked in `wait_s` seconds.
 
         Returns:
-            Requests that are due now.
+            Requests that are due immediately.
         """
         if not self.is_newer(kind, fencing_token):
             return []
@@ -64,7 +65,7 @@
         return self._request_if_due(now, kind, pending)
 
     def tick(self, now: float) -> list[Send]:
-        """Send the requests, and repeated ones, that are due."""
+        """Send the requests and retries that are due."""
         return [
             send
             for kind, pending in self.pending_fetches.items()
@@ -78,13 +79,13 @@
         if not ready:
             return []
         source = min(ready)[1]
-        # The other sources are asked first if this one doesn't answer.
+        # The other sources are asked before this one is asked again.
         pending.sources[source] += 2 * FETCH_RETRY_S + (now - pending.sources[source])
         pending.requested_at = now
         return [self.request(kind, pending.fencing_token, source)]
 
     def request(self, kind: int, fencing_token: FencingToken, source: Address) -> Send:
-        """The request to a source for this value or a newer one."""
+        """Build a request to a source for this value or a newer one."""
         message = pb.Message()
         message.value_request.kind = kind
         message.value_request.term, message.value_request.number = fencing_token
@@ -93,7 +94,7 @@
     def accept(
         self, kind: int, fencing_token: FencingToken, data: bytes, digest: bytes
     ) -> list[ValueUpdated]:
-        """Take a value; returns it as an update if it is newer than the last one."""
+        """Accept a value; returns it as an update if it is newer than the last one."""
         if not self.is_newer(kind, fencing_token):
             return []
         self.newest_fetched[kind] = fencing_token
@@ -103,30 +104,30 @@
         return [ValueUpdated(kind, fencing_token, data, digest)]
 
     def on_value(self, value: pb.Value) -> list[ValueUpdated]:
-        """Take a value that a source has sent; one that can't be decompressed is ignored."""
+        """Accept a value sent by a source; a value that can't be decompressed is ignored."""
         fencing_token = FencingToken(value.term, value.number)
         data = codec.value_data(value) if self.is_newer(value.kind, fencing_token) else None
         return [] if data is None else self.accept(value.kind, fencing_token, data, value.digest)
 
 
 class ValueStore:
-    """The newest value of each kind, for processes that request it."""
+    """The newest value of each kind, for other processes to request."""
 
     def __init__(self) -> None:
         self.newest_by_kind: dict[int, ValueRecord] = {}
-        self.encoded: dict[int, pb.Message] = {}  # made at the first request
+        self.encoded: dict[int, pb.Message] = {}  # encoded at the first request
 
     def put(self, record: ValueRecord) -> bool:
-        """Keep this value if it is newer than the stored one; returns whether it is."""
-        known = self.newest_by_kind.get(record.kind)
-        if known is not None and known.fencing_token >= record.fencing_token:
+        """Store a value if it is newer than the stored one; returns whether it is."""
+        stored = self.newest_by_kind.get(record.kind)
+        if stored is not None and stored.fencing_token >= record.fencing_token:
             return False
         self.newest_by_kind[record.kind] = record
         self.encoded.pop(record.kind, None)
         return True
 
     def on_request(self, sender: Address, request: pb.ValueRequest) -> list[Send]:
-        """Answer a request, if the stored value is at least as new as the one asked for."""
+        """Answer a request if the stored value is at least as new as the requested one."""
         kind = request.kind
         record = self.newest_by_kind.get(kind)
         if record is None or record.fencing_token < (request.term, request.number):
