--- a/tests/gateway/config/test_config.py
+++ b/tests/gateway/config/test_config.py
@@ -1,4 +1,4 @@
-"""Configurations: what is refused and passes, the orders, the tree against a plain reading, the digests."""
+"""Configurations: validation, changes, the routing tree compared with the reference, and digests."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("raw", INVALID.values(), ids=INVALID.keys())
-def test_invalid_is_refused(raw: Any) -> None:
+def test_invalid_configurations_are_rejected(raw: Any) -> None:
     answer = decide(ConfigState(), "PUT", body(raw))
     assert (answer.status, answer.config_state) == (400, None)
     assert all(e["reason"] for e in json.loads(answer.body)["errors"])
@@ -130,11 +130,11 @@
         b'{"generation":1,"resource-list":[{"entry-kind":"new","x":[-1e999]}]}',
     ],
 )
-def test_what_cannot_be_read_is_refused(sent: bytes) -> None:
+def test_unreadable_bodies_are_rejected(sent: bytes) -> None:
     assert decide(ConfigState(), "PUT", sent).status == 400
 
 
-def test_faults_name_their_place(snapshot: SnapshotAssertion) -> None:
+def test_errors_name_their_place(snapshot: SnapshotAssertion) -> None:
     raws = [
         config(service("s1"), 7, tenant("t", "k")),
         config(service("s1"), route("r", max_tries=0, deadline_s="2"), route("q", target_latency_s=70)),
@@ -163,13 +163,13 @@
         config(tenant("t", "k", "k", precedence=0), {"entry-kind": "tenants", "metadata": {"label": "u"}}),
     ],
 )
-def test_what_is_proper_passes_and_comes_back(raw: Raw) -> None:
+def test_valid_configurations_round_trip(raw: Raw) -> None:
     answer = decide(ConfigState(), "PUT", body(raw))
     assert answer.status == 200 and answer.config_state is not None, answer.body
     assert json.loads(ConfigState.decode(answer.config_state.encode()).document_body()) == raw
 
 
-def test_an_exchange_with_the_operator(snapshot: SnapshotAssertion) -> None:
+def test_sequence_of_changes(snapshot: SnapshotAssertion) -> None:
     first = config(service("s1"), service("s2"), route("r"), route("q"), generation=2)
     later = {"generation": 7, "base-version": 5}
     change = {
@@ -208,7 +208,7 @@
     assert [*said, config_state.document_body().decode()] == snapshot
 
 
-def test_a_patch_on_nothing_and_what_it_leaves() -> None:
+def test_patch_without_a_configuration() -> None:
     upsert = {"resource-list": [service("s1"), {"entry-kind": "limits", "spec": {"max-body-bytes": 5}}]}
     config_state = decide(ConfigState(), "PATCH", body({"generation": 1, "upsert": upsert})).config_state
     assert config_state is not None and config_state.document is not None
@@ -220,7 +220,7 @@
 
 
 def changes(count: int, step: int = 1) -> list[bytes]:
-    """Orders that build on one another."""
+    """Changes that are based on one another."""
     rising = range(step, count * step + 1, step)
     return [body(config(service("s1"), generation=g, base=g - step)) for g in rising]
 
@@ -232,14 +232,14 @@
     return config_state or ConfigState()
 
 
-def test_repeats_are_known_for_long_and_the_value_stays_small() -> None:
+def test_retries_are_recognized_and_the_value_stays_small() -> None:
     orders = changes(MAX_REMEMBERED_CHANGES + 6, 3)
     config_state = after(orders)
     config_state = ConfigState.decode(config_state.encode())
     assert [decide(config_state, "PUT", o).status for o in orders] == [503] * 6 + [
         200
     ] * MAX_REMEMBERED_CHANGES
-    assert decide(config_state, "PATCH", orders[-1]).status == 412  # another order, if of the same body
+    assert decide(config_state, "PATCH", orders[-1]).status == 412  # a different change with the same body
     value = config_state.encode()
     assert len(value) < 17_000 and len(without_history(value)) < 200
     bare = ConfigState.decode(without_history(value))
@@ -260,11 +260,11 @@
     assert ConfigState.decode(b"").generation == 0
 
 
-def test_what_may_be_forgotten_is_never_refused() -> None:
+def test_possibly_forgotten_changes_are_never_rejected() -> None:
     config_state = after(changes(MAX_REMEMBERED_CHANGES + 6, 3))
 
     def lost(generation: int, base: int) -> int:
-        """What is said to an order that lost its race."""
+        """The status of the response to a change that lost a race."""
         return decide(config_state, "PUT", body(config(generation=generation, base=base))).status
 
     assert config_state.forgotten_generation == 18 and [lost(18, 15), lost(17, 15), lost(19, 15)] == [
@@ -272,10 +272,10 @@
         503,
         412,
     ]
-    assert lost(15, 15) == 412  # invalid on any base, so never taken
+    assert lost(15, 15) == 412  # invalid with any base, so it can't have been accepted
 
 
-def test_a_value_of_the_older_form_is_read() -> None:
+def test_previous_format_is_decoded() -> None:
     orders = changes(70, 2)
     for count in (3, 64, 70):
         config_state = after(orders[:count])
@@ -299,7 +299,7 @@
         )
 
 
-def test_a_book_keeps_what_did_not_change() -> None:
+def test_unchanged_items_are_reused() -> None:
     one = CompiledConfig(built(route("r"), route("q"), tenant("t", "k")))
     two = CompiledConfig(built(route("q", max_tries=3), route("r"), tenant("t", "l")), one)
     assert two.routes["r"] is one.routes["r"] and two.routes["q"] is not one.routes["q"]
@@ -315,7 +315,7 @@
     assert r.pick_service(1.0) == "s1"
 
 
-def test_keys_and_ranks() -> None:
+def test_keys_and_precedences() -> None:
     compiled_config = CompiledConfig(
         built(route("r"), route("p", public=True), tenant("t", "k", precedence=0), tenant("u", "l"))
     )
@@ -348,7 +348,7 @@
     st.sampled_from(["", "?q=/a/b/", "x", "x/"]),
     st.sampled_from([b"", b"k", b"l"]),
 )
-def test_the_tree_reads_as_the_plain_reading(
+def test_compiled_routing_matches_the_reference(
     drawn: list[tuple[str, list[str], bool]], at: list[str], host: str, keys: bool, end: str, key: bytes
 ) -> None:
     routes: dict[tuple[bytes, str], Raw] = {}
@@ -366,7 +366,7 @@
     assert digest(compiled_config) == ExpectedDigests(one).total
 
 
-def test_the_digest_is_of_the_meaning() -> None:
+def test_digest_depends_only_on_the_meaning() -> None:
     entries = [route("r"), route("q", weighted=SPLIT), tenant("t", "k", "l")]
     one, two = built(*entries), built(*reversed(copy.deepcopy(entries)))
     other = built(route("r", max_tries=3), *entries[1:])
@@ -375,7 +375,7 @@
     assert digest(CompiledConfig(other)) != digest(CompiledConfig(one))
 
 
-def test_drift_is_found_and_named(snapshot: SnapshotAssertion) -> None:
+def test_differences_are_found_and_named(snapshot: SnapshotAssertion) -> None:
     one = built(route("r"), route("q"), route("n"), tenant("t", "key-one"), tenant("u", "key-two"))
     compiled_config = CompiledConfig(one)
     watch = DriftScanner(compiled_config, ExpectedDigests(one))
--- a/tests/gateway/drift/drift_network.py
+++ b/tests/gateway/drift/drift_network.py
@@ -1,4 +1,4 @@
-"""Proxies and controllers on a simulated net, and configurations, for the tests of drift watch."""
+"""Proxies and controllers connected by a simulated network, and configurations, for drift tests."""
 
 import copy
 import heapq
@@ -49,19 +49,19 @@
     return json.dumps({"generation": generation, "base-version": base, "resource-list": entries}).encode()
 
 
-def taken(body, config_state=None):
-    """What an order that is taken puts in force."""
+def accepted(body, config_state=None):
+    """The state after accepting a change."""
     decision = decide(config_state or ConfigState(), "PUT", body)
     assert decision.status == 200, decision
     return decision.config_state
 
 
 class SimulatedProxy:
-    """A proxy's machines; `said` are its findings."""
+    """The state machines of a proxy."""
 
     def __init__(self, net, address):
         ip, port = address.split(":")
-        told = {
+        update = {
             "self": {"node": ip, "role": "proxy", "ip": ip, "zone": "z"},
             "network": {
                 "port-range": [int(port), int(port) + 9],
@@ -70,12 +70,12 @@
             },
         }
         loop = SimpleNamespace(call_later=lambda *a: NOTHING, call_at=lambda *a: NOTHING, time=net.clock)
-        self.outs, self.held_to, self.skew, self.versions = [], USUAL, 0.0, []
+        self.outputs, self.limits_in_force, self.skew, self.versions = [], USUAL, 0.0, []
         self.proxy_node = ProxyNode(
             self,
             loop,
             lambda: net.now + self.skew,
-            files.read_document(told).unwrap(),
+            files.read_document(update).unwrap(),
             None,
             random.Random(address),
         )
@@ -86,26 +86,26 @@
 
     def send(self, to, plane, message):
         if plane == MEMBERSHIP:
-            self.outs.append(Send(to, message))
+            self.outputs.append(Send(to, message))
 
     def limit(self, limits):
-        self.held_to = limits
+        self.limits_in_force = limits
 
     def limits(self):
-        return self.held_to
+        return self.limits_in_force
 
     def handle(self, now, event):
         self.proxy_node.handle_membership(event)
         if self.versions[-1:] != [self.proxy_node.version]:
             self.versions.append(self.proxy_node.version)
-        outs, self.outs = self.outs, []
-        return outs
+        outputs_found, self.outputs = self.outputs, []
+        return outputs_found
 
     def ask(self, path="/r1/x", key="t1-a", host="a.example"):
-        """A request: its status, or None if it is turned back."""
-        wanted = host.encode(), path.encode(), key.encode()
+        """Send a request; returns its status, or None if it is rejected because of drift."""
+        resolved = host.encode(), path.encode(), key.encode()
         route_decision = self.drift_monitor.request(
-            *wanted, self.proxy_node.compiled_config.resolve_request(*wanted)
+            *resolved, self.proxy_node.compiled_config.resolve_request(*resolved)
         )
         return route_decision and route_decision.status
 
@@ -114,27 +114,27 @@
 
 
 class SimulatedController:
-    """A controller's rounds and what it knows of the fleet."""
+    """A controller's membership and its view of the fleet."""
 
     def __init__(self, net, address):
-        self.net, self.said = net, []
+        self.net, self.findings_output = net, []
         self.membership = ControllerMembership(address, 1, CONTROLLER_ADDRESSES, 1.3, net.rng)
         self.fleet_monitor = FleetMonitor(address, 2.5, 5.0, lambda: None)
 
     def handle(self, now, event):
-        outs = self.membership.handle(now, event)
-        for running in [o for o in outs if isinstance(o, outputs.RunningConfig)]:
+        outputs_found = self.membership.handle(now, event)
+        for running in [o for o in outputs_found if isinstance(o, outputs.RunningConfig)]:
             self.fleet_monitor.on_running_config(now, running)
         if isinstance(event, events.Tick):
             self.fleet_monitor.tick(now, True, lambda: self.fleet_monitor.quota_windows)
-        return [o for o in outs if isinstance(o, Send)]
+        return [o for o in outputs_found if isinstance(o, Send)]
 
 
 class FleetNetwork:
-    """Processes; messages take 2 ms. `cut(a, b, kind)` tells which are lost, `asleep` who stands still."""
+    """Processes with a message delay of 2 ms; `cut` selects lost messages, `asleep` frozen nodes."""
 
     def __init__(self, proxies=4, seed=1):
-        self.rng, self.now, self.count, self.due = random.Random(seed), 100.0, 0, []
+        self.rng, self.now, self.count, self.queue = random.Random(seed), 100.0, 0, []
         self.cut, self.asleep = lambda a, b, kind: False, set()
         self.nodes = {a: SimulatedController(self, a) for a in CONTROLLER_ADDRESSES}
         self.nodes |= {
@@ -142,10 +142,10 @@
             for i in range(proxies)
         }
         for address in self.nodes:
-            self.later(self.rng.uniform(0, TICK_S), address, events.Tick())
+            self.schedule(self.rng.uniform(0, TICK_S), address, events.Tick())
         for address in CONTROLLER_ADDRESSES:
-            self.give(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
-        self.give(
+            self.deliver(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
+        self.deliver(
             CONTROLLER_ADDRESSES[0],
             events.Publish(
                 ValueKind.CORE, (1, 1), codec.encode_members(CONTROLLER_ADDRESSES, CONTROLLER_ADDRESSES[0])
@@ -159,40 +159,40 @@
     def proxies(self):
         return [n for n in self.nodes.values() if isinstance(n, SimulatedProxy)]
 
-    def later(self, wait, address, event):
+    def schedule(self, wait, address, event):
         self.count += 1
-        heapq.heappush(self.due, (self.now + wait, self.count, address, event))
+        heapq.heappush(self.queue, (self.now + wait, self.count, address, event))
 
-    def give(self, address, event):
+    def deliver(self, address, event):
         for out in self.nodes[address].handle(self.now, event):
             kind = out.message.WhichOneof("kind")
             if out.to in self.nodes and not self.cut(address, out.to, kind):
-                self.later(0.002, out.to, events.Received(address, copy.copy(out.message)))
+                self.schedule(0.002, out.to, events.Received(address, copy.copy(out.message)))
 
     def run(self, seconds):
         end = self.now + seconds
-        while self.due and self.due[0][0] <= end:
-            self.now, _, address, event = heapq.heappop(self.due)
+        while self.queue and self.queue[0][0] <= end:
+            self.now, _, address, event = heapq.heappop(self.queue)
             tick = isinstance(event, events.Tick)
             if address not in self.asleep:
-                self.give(address, event)
+                self.deliver(address, event)
             elif not tick:
-                self.later(0.5, address, event)
+                self.schedule(0.5, address, event)
             if tick:
-                self.later(TICK_S, address, event)
+                self.schedule(TICK_S, address, event)
         self.now = end
 
     def kill(self, address):
-        """Ends a process, with its ticks."""
+        """Kill a process."""
         del self.nodes[address]
-        self.due = [d for d in self.due if d[2] != address]
-        heapq.heapify(self.due)
+        self.queue = [d for d in self.queue if d[2] != address]
+        heapq.heapify(self.queue)
 
     def put(self, version, config_state, addresses=CONTROLLER_ADDRESSES):
-        """The core has acknowledged a version."""
+        """Publish a version as acknowledged by the core."""
         digest = ExpectedDigests(config_state.document).total.to_bytes(8)
         for address in addresses:
-            self.give(
+            self.deliver(
                 address,
                 events.Publish(ValueKind.CONFIG, FencingToken(0, version), config_state.encode(), digest),
             )
--- a/tests/gateway/drift/test_drift.py
+++ b/tests/gateway/drift/test_drift.py
@@ -1,4 +1,4 @@
-"""What is found where a node does not run what was set, what becomes of it, and what the looks cost."""
+"""Detection and repair of drift at a node, and the cost of the checks."""
 
 import json
 from unittest.mock import Mock
@@ -16,21 +16,21 @@
 from gateway.programs.quota_report import OwnerReport
 from gateway.quota.shard_owner import ShardOwner
 from gateway.runtime.http_call import HttpCall
-from tests.gateway.drift.drift_network import CONTROLLER_ADDRESSES, FleetNetwork, config, route, taken
+from tests.gateway.drift.drift_network import CONTROLLER_ADDRESSES, FleetNetwork, accepted, config, route
 
-MANY = taken(config(more=[route(f"m{n}") for n in range(300)]))
+MANY = accepted(config(more=[route(f"m{n}") for n in range(300)]))
 
 
-def begun(config_state=MANY):
-    """A net with one proxy that has the version in force."""
+def running_network(config_state=MANY):
+    """A network with one proxy that runs the version."""
     net = FleetNetwork(1)
     net.put(1, config_state)
     net.run(2)
     return net, net.proxies[0]
 
 
-def planted(kind, compiled_config):
-    """Something that runs otherwise than it is set; where, and a request that meets it."""
+def corrupt(kind, compiled_config):
+    """Corrupt the running configuration; returns the expected finding."""
     r1, node = compiled_config.match(b"a.example", b"/r1/x"), compiled_config.hosts[b"a.example"]
     if kind == "tries":
         r1.tries = 9
@@ -55,11 +55,11 @@
 
 
 @pytest.mark.parametrize("kind", ["tries", "weight", "key", "key gone", "limit", "route gone", "half"])
-def test_a_corrupted_table_is_found_by_live_requests_and_built_anew(kind):
-    net, s = begun()
+def test_corrupt_configuration_is_detected_by_requests_and_rebuilt(kind):
+    net, s = running_network()
     compiled_config = s.proxy_node.compiled_config
     net.run(0.5)
-    where = planted(kind, compiled_config)
+    where = corrupt(kind, compiled_config)
     assert (
         s.ask() == 200
         and s.findings()[0].startswith(where)
@@ -79,8 +79,8 @@
 
 
 @pytest.mark.parametrize("what", ["route", "limits", "quota", "held to"])
-def test_what_no_request_meets_is_found_as_well(what):
-    net, s = begun(taken(config()))
+def test_scan_detects_drift_without_requests(what):
+    net, s = running_network(accepted(config()))
     if what == "route":
         s.proxy_node.compiled_config.routes["r2"].deadline = 1.0
     elif what == "limits":
@@ -89,7 +89,7 @@
         local_quota = s.proxy_node.quota_client.local_quotas["t1"]
         local_quota.window = local_quota.window._replace(allowance=500.0)
     else:
-        s.held_to = s.held_to._replace(body=7)
+        s.limits_in_force = s.limits_in_force._replace(body=7)
     net.run(1.1 if what in ("quota", "held to") else 8)
     assert (
         len(s.findings()) == 1
@@ -100,34 +100,34 @@
     assert len(s.findings()) == 1
 
 
-def test_where_the_value_held_is_no_good_the_next_rebuild_is_from_the_core():
-    net, s = begun()
+def test_corrupt_stored_value_is_fetched_again():
+    net, s = running_network()
     s.drift_monitor.value = b""
     s.proxy_node.compiled_config.match(b"a.example", b"/r1/x").tries = 9
-    assert s.ask() is None and s.ask("/r2/x") == 200  # turned back rather than sent on
+    assert s.ask() is None and s.ask("/r2/x") == 200  # rejected instead of forwarded
     net.run(1.1)
-    assert s.ask() is None  # asks for it
+    assert s.ask() is None  # requests the value
     net.run(0.1)
     assert s.ask() == 200 and len(s.findings()) == 1 and s.drift_monitor.value == MANY.encode()
 
 
-def test_a_document_that_cannot_be_read_any_more_ends_no_request():
-    net, s = begun(taken(config()))
+def test_unreadable_document_fails_no_request():
+    net, s = running_network(accepted(config()))
     del s.proxy_node.config_state.document.entries[0]["spec"]
     assert {s.ask() for _ in range(60)} == {200}
     assert s.findings() == ["a look: is KeyError: 'spec', should be possible (version 1, sample)"]
     assert "spec" in s.proxy_node.config_state.document.entries[0]
 
 
-def test_what_rebuilding_does_not_cure_keeps_clients_away_and_is_told_once():
+def test_rebuild_limit_makes_the_node_unready_and_is_reported_once():
     machine = DriftDetector(2.5)
     machine.handle(0.0, events.VersionApplied(1, 7, 7))
     machine.handle(0.0, events.NewestConfirmed(1, 0.0))
-    outs = []
+    outputs_found = []
     for n in range(100):
         found = events.DifferencesFound(events.Check.REQUEST, (Difference("route r1.max-tries", "9", "2"),))
-        outs += machine.handle(n * 0.1, found)
-    assert [type(o).__name__ for o in outs] == [
+        outputs_found += machine.handle(n * 0.1, found)
+    assert [type(o).__name__ for o in outputs_found] == [
         "Finding",
         "Rebuild",
         "FetchVersion",
@@ -141,12 +141,11 @@
 
 
 def test_drift_detector_transcript(snapshot):
-    """Awaiting the last contact with the core, behind, refusing, caught up, another digest, a claim that is
-    none."""
-    machine, said = DriftDetector(2.5, refuse_after_s=5.0), []
+    """Core contact pending, behind, rejecting, caught up, another digest, and a false advertisement."""
+    machine, lines = DriftDetector(2.5, refuse_after_s=5.0), []
 
     def give(now, event):
-        said.extend(f"{now:5.2f} {out!r}" for out in machine.handle(now, event))
+        lines.extend(f"{now:5.2f} {out!r}" for out in machine.handle(now, event))
 
     give(0.0, events.VersionApplied(5, 0xA, 0xA))
     give(0.0, events.NewestConfirmed(5, 0.0))
@@ -163,35 +162,35 @@
     for n in range(6):
         give(4.0 + n, events.Tick())
     give(9.2, events.NewestConfirmed(6, 9.1))
-    assert "\n".join(said) == snapshot
+    assert "\n".join(lines) == snapshot
 
 
-def test_looks_cost_a_bounded_share(monkeypatch):
+def test_cost_of_checks_is_bounded(monkeypatch):
     read = []
     plain = live_check.evaluate
     monkeypatch.setattr(
         live_check, "evaluate", lambda document, *more: read.append(1) or plain(document, *more)
     )
     for config_state, most in (
-        (taken(config()), 1 / 50),
+        (accepted(config()), 1 / 50),
         (MANY, 1 / 50),
-        (taken(config(more=[route(f"m{n}") for n in range(900)])), 1 / 180),
+        (accepted(config(more=[route(f"m{n}") for n in range(900)])), 1 / 180),
     ):
-        net, s = begun(config_state)
+        net, s = running_network(config_state)
         scanner = s.drift_monitor.live.scanner
-        looks = Mock(side_effect=scanner.step)
-        monkeypatch.setattr(scanner, "step", looks)
+        scans = Mock(side_effect=scanner.step)
+        monkeypatch.setattr(scanner, "step", scans)
         read.clear()
         for _ in range(1100):
             s.ask()
-        assert 0 < len(read) <= 1100 * most and looks.call_count <= 1100 / 16 + 1
+        assert 0 < len(read) <= 1100 * most and scans.call_count <= 1100 / 16 + 1
         for _ in range(1000):
             s.ask("/none/x")
-        assert len(read) <= 2100 * most + 1  # a flood of what isn't allowed reads no more
+        assert len(read) <= 2100 * most + 1  # a flood of requests that aren't allowed causes no more samples
 
 
 def test_status_figures_and_the_list_of_nodes(snapshot):
-    net, s = begun(taken(config()))
+    net, s = running_network(accepted(config()))
     s.ask()
     s.proxy_node.compiled_config.match(b"a.example", b"/r1/x").tries = 9
     s.ask()
@@ -215,8 +214,8 @@
     assert not report.is_healthy and b"gateway_drift_nodes_lagging 0\n" in answers[1][2]
 
 
-def test_a_book_that_is_built_on_a_former_one_has_the_digest_of_a_new_one():
-    first, second = taken(config()), taken(config(2, 1, r3="s2"), taken(config()))
+def test_incremental_build_has_the_same_digest():
+    first, second = accepted(config()), accepted(config(2, 1, r3="s2"), accepted(config()))
     grown = ConfigState.decode(second.encode(), first).document
     expected = live_check.ExpectedDigests(grown, live_check.ExpectedDigests(first.document))
     compiled_config = CompiledConfig(grown, CompiledConfig(first.document))
--- a/tests/gateway/drift/test_drift_fleet.py
+++ b/tests/gateway/drift/test_drift_fleet.py
@@ -1,4 +1,4 @@
-"""Who learns of a version, and who notices that somebody did not."""
+"""Distribution of versions in a fleet, and detection of nodes that are behind."""
 
 import pytest
 
@@ -10,17 +10,17 @@
     CONTROLLER_ADDRESSES,
     FleetNetwork,
     SimulatedController,
+    accepted,
     config,
-    taken,
 )
 
 APPLY_S = 2.5
-FIRST = taken(config())
-SECOND = taken(config(2, 1, r3="s2"), FIRST)
-THIRD = taken(config(3, 2), SECOND)
+FIRST = accepted(config())
+SECOND = accepted(config(2, 1, r3="s2"), FIRST)
+THIRD = accepted(config(3, 2), SECOND)
 
 
-def begun(proxies=4):
+def running_network(proxies=4):
     net = FleetNetwork(proxies)
     net.put(1, FIRST)
     net.run(3)
@@ -28,19 +28,19 @@
     return net
 
 
-def told(net):
-    """Findings that the controllers have, in their order."""
+def update(net):
+    """The findings of each controller, in order."""
     return [sorted(net.nodes[p].fleet_monitor.status(net.now)["findings"]) for p in CONTROLLER_ADDRESSES]
 
 
 def node(net, i):
-    """The address of a proxy, and itself."""
+    """The address of a proxy and the proxy."""
     return [(a, n) for a, n in net.nodes.items() if a not in CONTROLLER_ADDRESSES][i]
 
 
 @pytest.mark.parametrize("lost", [0.0, 0.2, 0.4])
-def test_news_that_gets_lost_is_in_force_in_time(lost):
-    net = begun(12)
+def test_version_is_applied_in_time_despite_lost_messages(lost):
+    net = running_network(12)
     net.cut = lambda a, b, kind: net.rng.random() < lost
     net.put(2, SECOND)
     net.run(APPLY_S)
@@ -48,28 +48,28 @@
     assert all(net.nodes[p].fleet_monitor.status(net.now)["spread-s"] < APPLY_S for p in CONTROLLER_ADDRESSES)
 
 
-def test_late_news_and_a_snapshot_that_is_older_than_the_log_do_not_put_a_node_back():
-    net = begun()
+def test_outdated_values_and_snapshots_do_not_revert_a_node():
+    net = running_network()
     net.put(2, SECOND)
     net.run(2)
-    net.put(3, THIRD, CONTROLLER_ADDRESSES[1:])  # this one has begun anew, and knows the first version only
+    net.put(3, THIRD, CONTROLLER_ADDRESSES[1:])  # this one has restarted and knows only the first version
     old = net.nodes[CONTROLLER_ADDRESSES[0]] = SimulatedController(net, CONTROLLER_ADDRESSES[0])
-    net.give(CONTROLLER_ADDRESSES[0], events.SetCore(tuple(CONTROLLER_ADDRESSES)))
-    net.give(
+    net.deliver(CONTROLLER_ADDRESSES[0], events.SetCore(tuple(CONTROLLER_ADDRESSES)))
+    net.deliver(
         CONTROLLER_ADDRESSES[0], events.Publish(ValueKind.CONFIG, FencingToken(0, 1), FIRST.encode(), b"")
     )
     net.run(3)
     assert old.membership.log.followers and {tuple(s.versions) for s in net.proxies} == {(0, 1, 2, 3)}
     assert all(
         s.drift_detector.confirmation_age() < 1 and s.drift_monitor.ready for s in net.proxies
-    )  # two of three say so
+    )  # confirmed by two of three
     net.cut = lambda a, b, kind: a == CONTROLLER_ADDRESSES[2]
     net.run(5)
     assert all(s.drift_detector.confirmation_age() > 2 and s.drift_monitor.ready for s in net.proxies)
 
 
-def test_a_node_that_sleeps_through_two_versions_turns_back_until_it_has_the_newest():
-    net = begun()
+def test_resumed_node_rejects_requests_until_it_has_the_newest_version():
+    net = running_network()
     address, sleeper = node(net, 0)
     net.asleep.add(address)
     net.run(1)
@@ -78,17 +78,17 @@
     net.put(3, THIRD)
     net.run(3)
     net.asleep.clear()
-    sleeper.proxy_node.handle_membership(events.Tick())  # a request comes before any word of the core
+    sleeper.proxy_node.handle_membership(events.Tick())  # a request arrives before any contact with the core
     assert sleeper.ask() is None and sleeper.versions == [0, 1]
     net.run(1.5)
     assert sleeper.ask() == 200 and sleeper.proxy_node.version == 3 and sleeper.findings() == []
-    assert told(net) == [[], [], []]  # it was not in touch
+    assert update(net) == [[], [], []]  # it was not in contact
 
 
-def test_of_two_operators_at_once_one_wins_and_all_run_its_version():
-    net = begun()
+def test_concurrent_changes_of_two_operators():
+    net = running_network()
     one, other = config(2, 1, r3="s1"), config(2, 1, r4="s2")
-    won = taken(one, FIRST)
+    won = accepted(one, FIRST)
     assert decide(won, "PUT", other).status == 412
     net.put(2, won)
     net.run(1)
@@ -97,7 +97,7 @@
     _, s = node(net, 0)
     s.drift_monitor.on_config_advertised(
         outputs.ConfigAdvertised(2, b"\1" * 8, "10.9.0.1:7660")
-    )  # where the other one had won as well
+    )  # as if the other operator had won
     assert s.findings() == [
         f"neighbour 10.9.0.1:7660: is digest {'01' * 8}, "
         f"should be digest {digests.pop():016x} (version 2, its word)"
@@ -105,8 +105,8 @@
 
 
 @pytest.mark.parametrize("step", [3600.0, -20.0])
-def test_a_clock_that_steps_makes_nobody_lag_and_hides_nobody_who_does(step):
-    net = begun()
+def test_clock_steps_do_not_affect_lag_detection(step):
+    net = running_network()
     address, s = node(net, 0)
     s.skew = step
     net.run(2)
@@ -124,8 +124,8 @@
     assert not s.drift_monitor.ready
 
 
-def test_a_node_that_hears_of_a_version_and_cannot_get_it_stays_away_from_clients():
-    net = begun()
+def test_node_that_cannot_fetch_a_known_version_rejects_requests():
+    net = running_network()
     address, s = node(net, 0)
     net.cut = lambda a, b, kind: b == address and kind == "value"
     net.put(2, SECOND)
@@ -134,17 +134,17 @@
     net.run(0.7)
     assert not s.proxy_node.ready() and s.ask() == 200
     net.run(0.9)
-    assert s.ask() is None  # before the time is over in which it may still
+    assert s.ask() is None  # rejected before `APPLY_S` has passed
     net.run(4)
     assert s.findings() == ["version: is 1, should be 2 (version 1, can't be had for 1.5 s)"]
-    assert [len(f) for f in told(net)] == [2, 2, 2]  # what it says, and that it lags
+    assert [len(f) for f in update(net)] == [2, 2, 2]  # its own report, and that it is behind
     net.cut = lambda a, b, kind: False
     net.run(2)
     assert s.ask() == 200 and s.drift_monitor.ready and s.proxy_node.version == 2
 
 
-def test_of_100_nodes_one_that_is_deaf_to_the_core_learns_by_neighbours_and_a_deaf_one_is_found():
-    net = begun(97)
+def test_nodes_without_core_contact_in_a_fleet_of_100():
+    net = running_network(97)
     (cut_off, by_neighbours), (deaf, lost) = node(net, 3), node(net, 50)
     net.cut = lambda a, b, kind: b == deaf or (b == cut_off and a in CONTROLLER_ADDRESSES)
     net.run(1)
@@ -154,11 +154,11 @@
         s for s in net.proxies if s.proxy_node.version != 2
     ] == [lost]
     net.run(APPLY_S - 1)
-    assert told(net) == [[], [], []]
+    assert update(net) == [[], [], []]
     net.run(2)
-    assert all(told(net))
+    assert all(update(net))
     net.run(8)
-    assert [[f.partition(": ")[0] for f in findings] for findings in told(net)] == [
+    assert [[f.partition(": ")[0] for f in findings] for findings in update(net)] == [
         [f"node {cut_off}", *[f"node {deaf}"] * 2]
     ] * 3
     unheard = "core: is unheard, should be heard (version {}, for 10 s)"
--- a/tests/gateway/membership/membership_network.py
+++ b/tests/gateway/membership/membership_network.py
@@ -1,4 +1,4 @@
-"""Controllers and proxies over a simulated network, for the tests of who is there."""
+"""Controllers and proxies connected by a simulated network, for membership tests."""
 
 import heapq
 import random
@@ -13,55 +13,55 @@
 
 
 class MembershipNetwork:
-    """Processes, and messages between them that take a moment, get lost, or are held back by cuts."""
+    """Processes connected by a lossy network with delays; `cut` selects partitioned pairs."""
 
     def __init__(self, seed=1, loss=0.0):
         self.rng, self.loss = random.Random(seed), loss
         self.now, self.count = 100.0, 0
-        self.nodes, self.outs, self.due = {}, {}, []
+        self.nodes, self.outputs, self.queue = {}, {}, []
         self.cut = lambda a, b: False
         self.sent, self.bytes = {}, {}
 
     def add(self, address, node):
-        self.nodes[address], self.outs[address] = node, []
-        self.later(self.rng.uniform(0, TICK_S), address, events.Tick())
+        self.nodes[address], self.outputs[address] = node, []
+        self.schedule(self.rng.uniform(0, TICK_S), address, events.Tick())
 
-    def later(self, wait, address, event):
+    def schedule(self, wait, address, event):
         self.count += 1
-        heapq.heappush(self.due, (self.now + wait, self.count, address, event))
+        heapq.heappush(self.queue, (self.now + wait, self.count, address, event))
 
-    def give(self, address, event):
-        """Hand an input to a process, if it lives; messages go out, other outputs are kept."""
+    def deliver(self, address, event):
+        """Pass an event to a process, if it is running; messages are sent, other outputs are stored."""
         if address not in self.nodes:
             return
         for out in self.nodes[address].handle(self.now, event):
             if not isinstance(out, Send):
-                self.outs[address].append(out)
+                self.outputs[address].append(out)
                 continue
             data = out.message.SerializeToString()
             self.sent[address] = self.sent.get(address, 0) + 1
             self.bytes[address] = self.bytes.get(address, 0) + len(data)
             if out.to in self.nodes and not self.cut(address, out.to) and self.rng.random() >= self.loss:
-                self.later(0.002, out.to, events.Received(address, type(out.message).FromString(data)))
+                self.schedule(0.002, out.to, events.Received(address, type(out.message).FromString(data)))
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the simulated time."""
         end = self.now + seconds
-        while self.due and self.due[0][0] <= end:
-            self.now, _, address, event = heapq.heappop(self.due)
-            self.give(address, event)
+        while self.queue and self.queue[0][0] <= end:
+            self.now, _, address, event = heapq.heappop(self.queue)
+            self.deliver(address, event)
             if isinstance(event, events.Tick):
-                self.later(TICK_S, address, event)
+                self.schedule(TICK_S, address, event)
         self.now = end
 
     def kill(self, address):
-        """Ends a process, with its ticks."""
+        """Kill a process."""
         del self.nodes[address]
-        self.due = [d for d in self.due if d[2] != address]
-        heapq.heapify(self.due)
+        self.queue = [d for d in self.queue if d[2] != address]
+        heapq.heapify(self.queue)
 
     def controller(self, address):
-        """Starts a controller."""
+        """Start a controller."""
         number = int(address.split(".")[1])
         self.add(
             address,
@@ -69,29 +69,31 @@
                 address, number, CONTROLLER_ADDRESSES, 1.3, random.Random(self.rng.random())
             ),
         )
-        self.give(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
+        self.deliver(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
 
-    def beat(self, address, id, seq, draining=False, at="10.9.0.1:80", cold=0.0):
-        """A backend's beat; returns its token."""
+    def heartbeat(self, address, id, seq, draining=False, at="10.9.0.1:80", cold=0.0):
+        """Send a backend's heartbeat; returns its token."""
         token = f"{id}/{seq}"
-        self.give(address, events.Heartbeat(token, id, "nomgate", at, "kgn-a", "v1", 2, draining, cold, seq))
+        self.deliver(
+            address, events.Heartbeat(token, id, "nomgate", at, "kgn-a", "v1", 2, draining, cold, seq)
+        )
         return token
 
     def table(self, address):
-        """Backends by id, as one process has them."""
+        """The backends by id according to one process."""
         return {id: row.backend for id, row in self.nodes[address].table.rows.items()}
 
-    def got(self, address, kind):
-        """Outputs of a kind since the last look."""
-        found = [o for o in self.outs[address] if isinstance(o, kind)]
-        self.outs[address] = [o for o in self.outs[address] if not isinstance(o, kind)]
+    def take_outputs(self, address, kind):
+        """Take the stored outputs of this type."""
+        found = [o for o in self.outputs[address] if isinstance(o, kind)]
+        self.outputs[address] = [o for o in self.outputs[address] if not isinstance(o, kind)]
         return found
 
     def answer(self, address, token):
-        """How a call of a backend was answered: "Acked", "Refused", or "" so far."""
+        """The answer to a backend's call: "Acknowledged", "Rejected", or "" if there is none yet."""
         kinds = [
             type(o).__name__
-            for o in self.outs[address]
+            for o in self.outputs[address]
             if isinstance(o, outputs.Acknowledged | outputs.Rejected) and o.token == token
         ]
         assert len(kinds) < 2
--- a/tests/gateway/membership/test_heartbeat_target.py
+++ b/tests/gateway/membership/test_heartbeat_target.py
@@ -1,4 +1,4 @@
-"""Which controller backends call: leases stay in one log, and what stays costs the followers nothing."""
+"""Heartbeat targets: a lease should stay in one log, so that unchanged backends cause no changes."""
 
 import random
 
@@ -15,13 +15,13 @@
 HEARTBEAT_S = 1.3
 
 
-def zoned(proxies: int = 2) -> MembershipNetwork:
-    """One controller a zone, each of which knows the zones by their names."""
+def network_with_zones(proxies: int = 2) -> MembershipNetwork:
+    """One controller per zone, each of which knows the zones by name."""
     net = MembershipNetwork()
     for number, address in enumerate(CONTROLLER_ADDRESSES, 1):
         rng = random.Random(number)
         net.add(address, ControllerMembership(address, number, CONTROLLER_ADDRESSES, HEARTBEAT_S, rng, ZONES))
-        net.give(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
+        net.deliver(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
     for n in range(proxies):
         address = f"10.{n % 3 + 1}.1.{n + 1}:7660"
         net.add(address, ProxyMembership(address, n % 3 + 1, CONTROLLER_ADDRESSES, random.Random(n)))
@@ -32,68 +32,68 @@
 def target(
     net: MembershipNetwork, at: str, id: str, seq: int, zone: str, draining: bool = False
 ) -> str | None:
-    """Where a heartbeat's acknowledgement sends the next ones; None without an acknowledgement yet."""
+    """The target in the acknowledgement of a heartbeat; None if there is no acknowledgement yet."""
     address = f"10.9.0.{int(id[2:])}:80"
-    net.give(at, events.Heartbeat((id, seq), id, "nomgate", address, zone, "v1", 2, draining, 0.0, seq))
-    return next((a.target for a in net.got(at, outputs.Acknowledged) if a.token == (id, seq)), None)
+    net.deliver(at, events.Heartbeat((id, seq), id, "nomgate", address, zone, "v1", 2, draining, 0.0, seq))
+    return next((a.target for a in net.take_outputs(at, outputs.Acknowledged) if a.token == (id, seq)), None)
 
 
-def test_the_member_in_the_backends_zone_is_named_and_names_itself() -> None:
-    net = zoned()
+def test_target_is_the_member_in_the_zone_of_the_backend() -> None:
+    net = network_with_zones()
     assert target(net, P1, "i-1", 1, "kgn-b") == P2
     assert target(net, P2, "i-1", 2, "kgn-b") == P2
     assert target(net, P3, "i-2", 1, "kgn-c") == P3
     assert target(net, P3, "i-3", 1, "elsewhere") == P3
 
 
-def test_a_backend_that_does_not_reach_its_zones_member_stays_where_it_comes_back() -> None:
-    net = zoned()
+def test_backend_that_returns_stays_at_its_controller() -> None:
+    net = network_with_zones()
     assert target(net, P1, "i-1", 1, "kgn-b") == P2
     assert target(net, P1, "i-1", 2, "kgn-b") == P1
     net.run(SUGGEST_AGAIN_S + 1)
     assert target(net, P1, "i-1", 30, "kgn-b") == P2
 
 
-def test_a_lost_member_is_not_named() -> None:
-    net = zoned()
+def test_lost_member_is_not_a_target() -> None:
+    net = network_with_zones()
     net.kill(P2)
     net.run(2.0)
     assert target(net, P1, "i-1", 1, "kgn-b") == P1
 
 
-def test_a_controller_out_of_contact_sends_backends_elsewhere_and_a_short_gap_does_not() -> None:
-    net = zoned()
-    net.give(P1, events.SetQuorumContact(net.now))
+def test_controller_without_contact_redirects_backends_after_a_delay() -> None:
+    net = network_with_zones()
+    net.deliver(P1, events.SetQuorumContact(net.now))
     net.run(OUT_OF_CONTACT_S / 2)
     assert target(net, P1, "i-1", 1, "kgn-a") == P1
     net.run(OUT_OF_CONTACT_S)
     assert {target(net, P1, f"i-{n}", 2, "kgn-a") for n in range(1, 20)} == {P2, P3}
-    net.give(P1, events.SetQuorumContact(net.now + 100))
+    net.deliver(P1, events.SetQuorumContact(net.now + 100))
     net.run(0.1)
     assert target(net, P1, "i-1", 3, "kgn-a") == P1
 
 
-def test_a_planned_end_names_no_target() -> None:
-    net = zoned()
+def test_draining_acknowledgement_has_no_target() -> None:
+    net = network_with_zones()
     target(net, P1, "i-1", 1, "kgn-a")
     assert target(net, P1, "i-1", 2, "kgn-a", draining=True) is None
     net.run(0.1)
-    assert [a.target for a in net.got(P1, outputs.Acknowledged)] == [""]
+    assert [a.target for a in net.take_outputs(P1, outputs.Acknowledged)] == [""]
 
 
-def test_what_is_remembered_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stored_suggestions_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(heartbeat_target, "MAX_SUGGESTIONS", 2)
-    net = zoned()
+    net = network_with_zones()
     assert [target(net, P1, f"i-{n}", 1, "kgn-b") for n in (1, 2, 3)] == [P2] * 3
     assert [target(net, P1, f"i-{n}", 2, "kgn-b") for n in (2, 3)] == [P1] * 2
-    assert target(net, P1, "i-1", 2, "kgn-b") == P2  # forgotten
+    assert target(net, P1, "i-1", 2, "kgn-b") == P2  # the suggestion is no longer stored
     net.run(SUGGEST_AGAIN_S + 1)
     assert not net.nodes[P1].targets.suggested
 
 
 def changes_of_steady_backends(follow_targets: bool) -> int:
-    """Changes in the controllers' logs within 10 s, by 30 backends that say the same in each heartbeat."""
-    net, rng = zoned(), random.Random(5)
+    """Number of log changes within 10 s caused by 30 backends whose heartbeats don't change."""
+    net, rng = network_with_zones(), random.Random(5)
     named: dict[str, str | None] = {f"i-{n}": None for n in range(1, 31)}
     settled = 0
     for seq in range(1, 12):
@@ -106,17 +106,17 @@
     return sum(net.nodes[address].log.position for address in CONTROLLER_ADDRESSES) - settled
 
 
-def test_backends_that_go_where_they_are_sent_change_no_log_and_those_that_wander_do() -> None:
+def test_following_targets_avoids_log_changes() -> None:
     assert changes_of_steady_backends(True) == 0
     assert changes_of_steady_backends(False) > 8 * 30
 
 
-def test_a_burst_of_changes_goes_to_a_proxy_in_fewer_messages_than_to_a_member() -> None:
+def test_bursts_of_changes_are_batched_for_proxies() -> None:
     net, (proxy, _) = system()
     pushed = {P2: 0, proxy: 0}
     for n in range(50):
         before = {to: net.nodes[P1].log.followers[to].sent_position for to in pushed}
-        net.beat(P1, f"i-{n}", 1, at=f"10.9.1.{n}:80")
+        net.heartbeat(P1, f"i-{n}", 1, at=f"10.9.1.{n}:80")
         net.run(0.02)
         for to, position in before.items():
             pushed[to] += net.nodes[P1].log.followers[to].sent_position != position
--- a/tests/gateway/programs/test_first_start.py
+++ b/tests/gateway/programs/test_first_start.py
@@ -16,12 +16,12 @@
     FleetNetwork,
     SimulatedController,
     SimulatedProxy,
+    accepted,
     config,
-    taken,
 )
 
 SPREAD_S = 0.3
-FIRST = taken(config())
+FIRST = accepted(config())
 
 
 class Staggered(ConsensusCluster):
@@ -57,11 +57,11 @@
         net.nodes[address] = (SimulatedController if address in CONTROLLER_ADDRESSES else SimulatedProxy)(
             net, address
         )
-        net.later(0.01, address, events.Tick())
+        net.schedule(0.01, address, events.Tick())
         if address in CONTROLLER_ADDRESSES:
-            net.give(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
+            net.deliver(address, events.SetCore(tuple(CONTROLLER_ADDRESSES)))
     net.run(0.5)
-    net.give(
+    net.deliver(
         CONTROLLER_ADDRESSES[0],
         events.Publish(
             ValueKind.CORE, (1, 1), codec.encode_members(CONTROLLER_ADDRESSES, CONTROLLER_ADDRESSES[0])
--- a/tests/gateway/programs/test_partition.py
+++ b/tests/gateway/programs/test_partition.py
@@ -8,19 +8,19 @@
     FleetNetwork,
     SimulatedController,
     SimulatedProxy,
+    accepted,
     config,
-    taken,
 )
 
-FIRST = taken(config())
-SECOND = taken(config(2, 1, r3="s2"), FIRST)
+FIRST = accepted(config())
+SECOND = accepted(config(2, 1, r3="s2"), FIRST)
 CUT, MAJORITY = CONTROLLER_ADDRESSES[0], CONTROLLER_ADDRESSES[1:]
 
 
 def begins(net, address="10.1.9.1:7660"):
     """Starts a proxy."""
     proxy = net.nodes[address] = SimulatedProxy(net, address)
-    net.later(0.01, address, events.Tick())
+    net.schedule(0.01, address, events.Tick())
     return proxy
 
 
@@ -30,7 +30,7 @@
     net.put(1, FIRST)
     net.run(2)
     net.cut = lambda a, b, kind: CUT in (a, b) and (a in MAJORITY or b in MAJORITY)
-    net.give(CUT, events.SetQuorumContact(net.now))
+    net.deliver(CUT, events.SetQuorumContact(net.now))
     net.put(2, SECOND, MAJORITY)
     return net
 
@@ -73,9 +73,9 @@
         net.kill(address)
     for address in later:
         net.nodes[address] = SimulatedController(net, address)
-        net.later(0.02, address, events.Tick())
-        net.give(address, events.SetCore((CUT, *later)))
-        net.give(
+        net.schedule(0.02, address, events.Tick())
+        net.deliver(address, events.SetCore((CUT, *later)))
+        net.deliver(
             address,
             events.Publish(ValueKind.CORE, FencingToken(2, 9), codec.encode_members([CUT, *later], later[0])),
         )
@@ -87,6 +87,6 @@
     )
     proxy = begins(net)
     net.run(1)
-    net.give(proxy.proxy_node.me, events.SetSeeds((CUT, *later)))
+    net.deliver(proxy.proxy_node.me, events.SetSeeds((CUT, *later)))
     net.run(5)
     assert proxy.proxy_node.version == 2 and proxy.ask("/r3/x") == 200 and proxy.drift_monitor.ready
--- a/tests/gateway/programs/test_proxy_readiness.py
+++ b/tests/gateway/programs/test_proxy_readiness.py
@@ -11,8 +11,8 @@
     CONTROLLER_ADDRESSES,
     FleetNetwork,
     SimulatedProxy,
+    accepted,
     config,
-    taken,
 )
 
 LIMITS = {
@@ -25,14 +25,14 @@
         "idle-timeout-s": 15,
     },
 }
-FIRST = taken(config(more=[LIMITS]))
-LATER = taken(config(2, 1, [LIMITS], r3="s2", r4="s1"), FIRST)
+FIRST = accepted(config(more=[LIMITS]))
+LATER = accepted(config(2, 1, [LIMITS], r3="s2", r4="s1"), FIRST)
 HEADERS = [(b"Host", b"a.example"), (b"Attempt-Id", b"a1"), (b"Authorization", b"Token t1-a")]
 
 
 def begins(net: FleetNetwork, address: str) -> SimulatedProxy:
     proxy = net.nodes[address] = SimulatedProxy(net, address)
-    net.later(0.01, address, events.Tick())
+    net.schedule(0.01, address, events.Tick())
     return proxy
 
 
@@ -116,4 +116,4 @@
     net.run(1)
     after = begins(net, "10.1.9.1:7660")
     net.run(0.5)
-    assert [s.held_to.idle for s in (*net.proxies, after)] == [15.0] * 3
+    assert [s.limits_in_force.idle for s in (*net.proxies, after)] == [15.0] * 3
