--- a/gateway/cli/allowance_report.py
+++ b/gateway/cli/allowance_report.py
@@ -1,6 +1,6 @@
-"""Command `allowance`: whether all nodes agree on each tenant's remaining allowance.
+"""Command `allowance`: whether all nodes agree on the remaining allowance of each tenant.
 
-The controllers report the counters that they own, and the view that each proxy has of them.
+The controllers report the counts that they own, and each proxy's view of them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from gateway.cli.table import format_table
 from gateway.state_machine import Address
 
-TOLERATED_DIFFERENCE = 1  # units by which a view may be outside of what the counter's owner reported
+TOLERATED_DIFFERENCE = 1  # units by which a view may be outside of what the count's owner reported
 TENANT_COLUMNS = (
     "tenant",
     "holder",
@@ -39,9 +39,9 @@
 
 
 class AllowanceReport(NamedTuple):
-    """Tenants with their counters' owners (`holder`), each node's views, and seeds without an answer.
+    """Tenants with the owners of their counts (`holder`), each node's views, and seeds without an answer.
 
-    The names of the fields are those of the output with `--json`.
+    The field names are those of the output with `--json`.
     """
 
     tenants: list[Row]
@@ -81,7 +81,7 @@
 
 
 def _view_rows(owner: str, counter: Row) -> list[Row]:
-    """One row for each node's view of a counter."""
+    """One row for each node's view of a count."""
     remaining = counter["remaining"]
     return [
         {
@@ -96,7 +96,7 @@
 
 
 def _tenant_row(owner: str, counter: Row, views: list[Row]) -> Row:
-    """The row of a counter, with the largest differences of its views."""
+    """The row of a count, with the largest differences of its views."""
     outside_by = max((view["beyond"] or 0 for view in views), default=0)
     agrees = outside_by <= TOLERATED_DIFFERENCE
     return {
@@ -114,7 +114,7 @@
 
 
 def lines(report: AllowanceReport, by_node: bool) -> list[str]:
-    """A table for the terminal: one line a tenant, or with `by_node` one line a view."""
+    """A table for the terminal: one line per tenant, or with `by_node` one line per view."""
     names = VIEW_COLUMNS if by_node else TENANT_COLUMNS
     rows = report.views if by_node else report.tenants
     return format_table(names, [tuple(row[name] for name in names) for row in rows])
--- a/gateway/cli/backend_report.py
+++ b/gateway/cli/backend_report.py
@@ -6,7 +6,7 @@
 from gateway.cli.table import format_table
 
 COLUMNS = ("id", "service", "address", "zone", "phase", "cold-left-s", "lease-left-s", "held-by")
-LEASE_HOLDERS = "held-by"  # the column that has a list
+LEASE_HOLDERS = "held-by"  # the column that contains a list
 
 
 def lines(answers: list[Row]) -> list[str]:
@@ -14,8 +14,8 @@
     longest: dict[str, Row] = {}
     for answer in answers:
         for row in answer["backends"]:
-            known = longest.setdefault(row["id"], row)
-            if (row["lease-left-s"] or 0.0) > (known["lease-left-s"] or 0.0):
+            previous = longest.setdefault(row["id"], row)
+            if (row["lease-left-s"] or 0.0) > (previous["lease-left-s"] or 0.0):
                 longest[row["id"]] = row
     return format_table(COLUMNS, [_cells(longest[backend]) for backend in sorted(longest)])
 
--- a/gateway/cli/commands.py
+++ b/gateway/cli/commands.py
@@ -49,7 +49,7 @@
         return 0
 
     def settings(self, path: str, program: str | None) -> int:
-        """Check a settings file; with `program`, also that it has the listeners which that program needs."""
+        """Check a settings file; with `program`, also that it has the listeners required by that program."""
         found = settings.read_file(path)
         if isinstance(found, Err):
             return self.faults(path, found.err_value)
@@ -57,7 +57,7 @@
         return self.faults(path, missing_listeners) if missing_listeners else self.report_ok(path)
 
     def own_settings(self, program: str | None) -> int:
-        """Check the settings file that the environment names."""
+        """Check the settings file named by the environment."""
         path = os.environ.get(settings.VARIABLE, "")
         if not path:
             return self.faults("", [(settings.VARIABLE, "is not set")])
@@ -77,7 +77,7 @@
 
 
 class CheckSettings(_CheckCommand):
-    """Checks a settings file, by default the one that the environment names."""
+    """Checks a settings file, by default the one named by the environment."""
 
     name = "check-settings"
     description = "Check a settings file"
@@ -92,7 +92,7 @@
 
 
 class CheckConfig(_CheckCommand):
-    """Checks a whole configuration as `config put` would send it."""
+    """Checks a full configuration as if it were sent by `config put`."""
 
     name = "check-config"
     description = "Check a configuration (JSON), as it would be put"
@@ -113,7 +113,7 @@
 
 
 class NodesCommand(_CheckCommand):
-    """Lists which configuration each node runs, as the controllers know it."""
+    """Lists the configuration that each node runs, as known to the controllers."""
 
     name = "nodes"
     description = "List nodes by version, digest, lag and findings"
@@ -167,7 +167,7 @@
 
 
 class AllowanceCommand(_CheckCommand):
-    """Compares each node's view of each tenant's remaining allowance with the owner of its counter."""
+    """Compares each node's view of each tenant's remaining allowance with the owner of the count."""
 
     name = "allowance"
     description = "Compare each node's view of each tenant's remaining allowance with the holder's"
@@ -189,7 +189,7 @@
 
 
 class _ConfigCommand(_CheckCommand):
-    """Base of the commands that read or change the configuration at whichever controller answers."""
+    """Base of the commands that read or change the configuration at any controller that answers."""
 
     method = "GET"
     options: ClassVar[list[Option]] = [
@@ -197,7 +197,7 @@
     ]
 
     def call_controllers(self, seeds: list[str], body: bytes) -> int:
-        """Call these controllers until there is a definite answer, and print that; returns the exit code."""
+        """Call these controllers until there is a definite answer, and print it; returns the exit code."""
         from gateway.cli import control_client
         from gateway.programs.paths import CONFIG
         from gateway.runtime.http_call import HttpCall
@@ -213,7 +213,7 @@
 
 
 class ConfigGet(_ConfigCommand):
-    """Prints the configuration in force, whole."""
+    """Prints the complete configuration in force."""
 
     name = "config get"
     description = "Print the configuration in force"
@@ -225,7 +225,7 @@
 
 
 class ConfigPut(_ConfigCommand):
-    """Replaces the whole configuration by that in a file."""
+    """Replaces the complete configuration by the one in a file."""
 
     name = "config put"
     description = "Put a whole configuration"
@@ -248,7 +248,7 @@
 
 
 class ConfigPatch(ConfigPut):
-    """Changes single entries of the configuration by the PATCH in a file."""
+    """Changes individual entries of the configuration by the PATCH in a file."""
 
     name = "config patch"
     description = "Change named entries of the configuration"
@@ -289,7 +289,7 @@
 
 
 class _ProgramCommand(_CheckCommand):
-    """Base of the commands that run a program, or with `--check` only check its settings."""
+    """Base of the commands that run a program or, with `--check`, only check its settings."""
 
     options: ClassVar[list[Option]] = [
         option("check", None, "Only check the settings, then end"),
--- a/gateway/cli/control_client.py
+++ b/gateway/cli/control_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of `control` addresses: retries a call, unchanged, until there is a definite answer.
+"""HTTP client for `control` addresses that repeats an unchanged call until there is a definite answer.
 
 answer = control_client.call_with_retries(["10.1.0.5:8407", "10.2.0.3:8407"], "PUT", CONFIG, body)
 """
@@ -17,12 +17,12 @@
 from gateway.runtime.http_call import HttpCall
 from gateway.state_machine import Address
 
-FINAL_STATUSES = (400, 409, 412, 413, 422)  # definite, as any 2xx is: no retry
+FINAL_STATUSES = (400, 409, 412, 413, 422)  # definite, like any 2xx: no retry
 RETRY_STATUSES = (408, 429)  # transient: another controller may accept the call
-MAX_OTHER_4XX = 3  # any other 4xx is definite once it was received this often
+MAX_OTHER_4XX = 3  # any other 4xx is definite once it has been received this often
 MAX_REDIRECTS = 2
-CALL_TIMEOUT_S = 1.0  # of one call,
-BODY_BYTES_PER_SECOND = 1e6  # and a second more for so many bytes of its body
+CALL_TIMEOUT_S = 1.0  # timeout of one call
+BODY_BYTES_PER_SECOND = 1e6  # the timeout is extended by a second for this many bytes of the body
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 2.0
 DEFAULT_TIMEOUT_S = 30.0  # of all attempts together
@@ -40,11 +40,11 @@
 
 
 SendCall = Callable[[Address, HttpCall, float], Answer]
-"""Sends one call to an address, with a timeout in seconds; any failure is `NO_ANSWER`."""
+"""Sends one call to an address with a timeout in seconds; any failure results in `NO_ANSWER`."""
 
 
 def send_call(address: Address, call: HttpCall, timeout_s: float) -> Answer:
-    """Send one call with a timeout; any failure of it is `NO_ANSWER`."""
+    """Send one call with a timeout; any failure results in `NO_ANSWER`."""
     headers = {"Content-Type": "application/json"} if call.body else {}
     try:
         host, port = host_port(address)
@@ -67,9 +67,9 @@
     sleep: Callable[[float], object] = time.sleep,
     clock: Callable[[], float] = time.monotonic,
 ) -> Answer:
-    """Call the seeds in turn, with exponential backoff, for at most `timeout_s` seconds; the last answer.
+    """Call the seeds in turn, with exponential backoff, for at most `timeout_s` seconds.
 
-    A configuration change without a definite answer may be in force: sent again unchanged it then gets 200.
+    A configuration change without a definite answer may be in force. If so, the unchanged retry gets a 200.
     """
     call_timeout_s = CALL_TIMEOUT_S + len(call.body) / BODY_BYTES_PER_SECOND
     deadline = clock() + timeout_s
@@ -88,7 +88,7 @@
 
 
 def _follow_redirects(send: SendCall, address: Address, call: HttpCall, timeout_s: float) -> Answer:
-    """The answer of one controller, or of those that it redirects to (307)."""
+    """The answer of one controller, or of the controllers that it redirects to (307)."""
     answer = NO_ANSWER
     for _ in range(1 + MAX_REDIRECTS):
         answer = send(address, call, timeout_s)
--- a/gateway/cli/core_report.py
+++ b/gateway/cli/core_report.py
@@ -9,9 +9,9 @@
 
 
 def lines(answers: list[Row]) -> list[str]:
-    """Lines for the terminal: the members, then how many losses the core tolerates.
+    """Lines for the terminal: the members, then the number of losses that the core tolerates.
 
-    The leader's answer is shown, or else that of the member with the latest term.
+    The leader's answer is used, or that of the member with the latest term if there is no leader.
     """
     if not answers:
         return []
@@ -33,7 +33,7 @@
 
 
 def is_healthy(answers: list[Row]) -> bool:
-    """Whether a leader has its lease, members aren't changing, and the core tolerates what it has to."""
+    """Whether a leader has its lease, membership is stable, and the core tolerates the required losses."""
     return any(
         answer["sure"] and not answer["changing"] and (answer["bears-now"] or 0) >= answer["tolerance"]
         for answer in answers
--- a/gateway/cli/errors.py
+++ b/gateway/cli/errors.py
@@ -4,4 +4,4 @@
 
 
 class StatusCallError(Exception):
-    """A `control` address can't be reached, or its answer is no status. The message says which."""
+    """A `control` address can't be reached, or its answer is not a status; the message says which."""
--- a/gateway/cli/node_report.py
+++ b/gateway/cli/node_report.py
@@ -1,4 +1,4 @@
-"""Command `nodes`: which configuration each node runs, merged from the status of several controllers."""
+"""Command `nodes`: the configuration that each node runs, merged from the status of several controllers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from gateway.cli.table import format_table
 from gateway.state_machine import Address
 
-SILENT_AFTER_S = 10.0  # without a report for so long, a node is in the state `silent`
+SILENT_AFTER_S = 10.0  # after this time without a report, a node is in the state `silent`
 COLUMNS = ("node", "role", "version", "digest", "lag-s", "heard-s", "found", "state")
 
 
@@ -18,15 +18,15 @@
     """State of a node in the report; the values are printed."""
 
     UP_TO_DATE = "well"
-    SILENT = "silent"  # no report lately
+    SILENT = "silent"  # no recent report
     BEHIND = "behind"  # it runs an older version
     DIFFERENT = "differs"  # it runs the newest version with another digest
 
 
 class FleetReport(NamedTuple):
-    """The newest version that a controller knows, all nodes, drift findings, and seeds without an answer.
+    """The newest version known to a controller, all nodes, drift findings, and seeds without an answer.
 
-    The names of the fields are those of the output with `--json`.
+    The field names are those of the output with `--json`.
     """
 
     version: int
@@ -47,14 +47,14 @@
 
 
 def merge_answers(fetched: StatusAnswers) -> FleetReport:
-    """One report from several answers: for each node the one that was heard from it last."""
+    """Merge several answers into one report that contains the most recent report of each node."""
     answers = fetched.answers
     version = max((answer["version"] for answer in answers), default=0)
     latest: dict[str, Row] = {}
     for answer in answers:
         for row in (_own_row(answer), *answer["nodes"]):
-            known = latest.get(row["node"])
-            if known is None or row["heard-s"] < known["heard-s"]:
+            previous = latest.get(row["node"])
+            if previous is None or row["heard-s"] < previous["heard-s"]:
                 latest[row["node"]] = dict(row)
     digests = {answer["digest"] for answer in answers if answer["version"] == version}
     for row in latest.values():
--- a/gateway/cli/status_client.py
+++ b/gateway/cli/status_client.py
@@ -14,10 +14,10 @@
 from gateway.state_machine import Address
 
 CALL_TIMEOUT_S = 2.0
-MAX_BODY_BYTES = 4 * 1024 * 1024  # of one answer
+MAX_BODY_BYTES = 4 * 1024 * 1024  # maximum size of one answer
 
 Row = dict[str, Any]
-"""A JSON object of a status, with the names of the status page."""
+"""A JSON object of a status, with the field names of the status page."""
 
 
 class CallFailure(NamedTuple):
@@ -35,7 +35,7 @@
 
 
 def fetch_status(address: Address, path: str = STATUS) -> Row:
-    """The JSON object at `path` of a program.
+    """Fetch the JSON object at `path` of a program.
 
     Raises:
         StatusCallError: There is no valid answer.
--- a/gateway/cli/table.py
+++ b/gateway/cli/table.py
@@ -8,7 +8,7 @@
 
 
 def format_table(names: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
-    """Format rows as a table with aligned columns; the first line has the names."""
+    """Format rows as a table with aligned columns; the first line contains the names."""
     cells = [tuple(names), *(tuple(map(_format_cell, row)) for row in rows)]
     widths = [max(len(row[i]) for row in cells) for i in range(len(names))]
     return [
--- a/gateway/programs/__init__.py
+++ b/gateway/programs/__init__.py
@@ -1,4 +1,4 @@
-"""The two programs, proxy and controller, and the parts that only they use."""
+"""The two programs, proxy and controller, and the modules that only they use."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 def launch(name: str) -> int:
-    """Run a program until it is stopped; its exit code. Raises KeyError if there is no such program.
+    """Run a program until it is stopped; returns its exit code. Raises KeyError for an unknown program.
 
-    Only the program's own modules are imported: each further one costs time at the start.
+    Only the modules of this program are imported, because each import takes time at startup.
     """
     return int(import_module(PROGRAMS[name]).main())
--- a/gateway/programs/control_api.py
+++ b/gateway/programs/control_api.py
@@ -1,8 +1,8 @@
-"""HTTP calls to `control`: the operator's configuration calls and the backends' heartbeats.
+"""HTTP calls to the `control` address: configuration calls of operators, and heartbeats of backends.
 
-A configuration call is a `GET`, `PUT` or `PATCH` of the configuration (an order, in the users' pages). Only a
-leader with its lease decides on one; the others redirect. Heartbeats are passed to the membership plane,
-which answers by `acknowledge_call` or `reject_call`.
+A configuration call is a `GET`, `PUT` or `PATCH` of the configuration (an order, in operators' terms). Only a
+leader with its lease decides on one; other controllers redirect it. Heartbeats are passed to the membership
+plane, which answers through `acknowledge_call` or `reject_call`.
 """
 
 from __future__ import annotations
@@ -23,12 +23,13 @@
 from gateway.runtime.http_call import JSON, HttpCall, Reply
 from gateway.state_machine import LONG_AGO, Address
 
-CALL_TIMEOUT_S = 0.7  # how long a call waits for a leader, for its base, and for another attempt
-NO_LEADER_TIMEOUT_S = 1.5  # without a leader for so long calls don't wait: an election takes less
-PROPOSAL_TIMEOUT_S = 10.0  # after which the outcome of a proposal counts as unknown
+CALL_TIMEOUT_S = 0.7  # how long a call waits for a leader, for its base version, or for another attempt
+# Calls don't wait after this time without a leader, which is longer than an election.
+NO_LEADER_TIMEOUT_S = 1.5
+PROPOSAL_TIMEOUT_S = 10.0  # after this time, the result of a proposal counts as unknown
 MAX_PENDING_CALLS = 64  # queued and postponed
-MAX_BATCH_BYTES = 128 * 1024  # of changes decided in a row, so that heartbeats aren't delayed
-MAX_NAME_LENGTH = 200  # characters of a name in a heartbeat
+MAX_BATCH_BYTES = 128 * 1024  # changes decided without a break, so that heartbeats aren't delayed
+MAX_NAME_LENGTH = 200  # maximum characters of a name in a heartbeat
 MAX_SLOW_START_S = 3600.0
 MAX_CAPACITY = 1 << 31
 MAX_SEQUENCE = 1 << 63
@@ -36,21 +37,21 @@
 
 
 class ConsensusCore(Protocol):
-    """What `ControlApi` needs of the consensus plane."""
+    """The parts of the consensus plane that `ControlApi` uses."""
 
     def leads(self, now: float) -> bool:
-        """Whether this process leads and has its leader lease."""
+        """Whether this process is the leader and has its lease."""
 
     def leader_control(self) -> Address | None:
-        """The `control` address of the leader, if that is another process; else None."""
+        """The `control` address of the leader, if the leader is another process; otherwise None."""
 
     def member_control(self) -> Address | None:
-        """The `control` address of a member of the core, where this process is none and knows one."""
+        """The `control` address of a member of the core, if this process is not a member and knows one."""
 
     def propose(self, token: int, value: bytes, expected_version: int) -> None:
-        """Propose a value to replace the version `expected_version`.
+        """Propose a value to replace version `expected_version`.
 
-        `on_proposal_outcome` is called with the outcome.
+        `on_proposal_outcome` is called with the result.
         """
 
     def config_in_force(self) -> tuple[int, ConfigState]:
@@ -58,7 +59,7 @@
 
 
 class ConfigCall(NamedTuple):
-    """A call about the configuration, and when it was received."""
+    """A configuration call, and the time at which it was received."""
 
     http_call: HttpCall
     reply: Reply
@@ -77,29 +78,30 @@
 
 
 class ControlApi:
-    """Answers the calls; one change is in flight at a time.
+    """Answers the calls; at most one change is in flight.
 
     Args:
         core: The consensus plane.
-        membership: Takes heartbeats and deregistrations of backends.
+        membership: Handles heartbeats and deregistrations of backends.
     """
 
     def __init__(self, core: ConsensusCore, membership: Callable[[Heartbeat | Deregistration], None]) -> None:
         self.core = core
         self.membership = membership
         self.queue: deque[ConfigCall] = deque()
-        self.postponed: list[ConfigCall] = []  # their base isn't in force yet
+        self.postponed: list[ConfigCall] = []  # changes whose base version isn't in force yet
         self.postponed_at_version = 0  # the version in force when they were postponed
         self.in_flight: InFlightChange | None = None
         self.token = 0
-        self.rejected_at = LONG_AGO  # last rejected proposal: the next one waits for a later `now`
+        # Time of the last rejected proposal; the next one waits for a later `now`.
+        self.rejected_at = LONG_AGO
         self.pending_heartbeats: dict[CallToken, Reply] = {}
         self.leader_known_at: float | None = None  # when a leader was last known, here or elsewhere
-        self.completed = 0  # changes acknowledged
+        self.completed = 0  # acknowledged changes
         self.refused = 0  # changes answered with an error
 
     def answer(self, now: float, http_call: HttpCall, reply: Reply) -> None:
-        """Handle a call; it may be answered later."""
+        """Handle a call, which may be answered later."""
         path = http_call.path.partition("?")[0]
         if path == CONFIG and http_call.method in ("GET", "PUT", "PATCH"):
             self._enqueue(now, ConfigCall(http_call, reply, now))
@@ -113,7 +115,7 @@
     # The operator.
 
     def _enqueue(self, now: float, call: ConfigCall) -> None:
-        """Answer a call about the configuration in turn; a read under the leader lease needs no commit."""
+        """Queue a configuration call; a read under the leader lease is answered immediately."""
         if call.http_call.method == "GET" and self.core.leads(now):
             self._process(now, call)
         elif len(self.queue) + len(self.postponed) >= MAX_PENDING_CALLS:
@@ -123,9 +125,9 @@
             self.proceed(now)
 
     def proceed(self, now: float) -> None:
-        """Handle queued calls in turn: decide them if this process leads, else redirect them to the leader.
+        """Handle queued calls in order: decide them if this process is the leader, otherwise redirect them.
 
-        Without a leader for a while they get 503 at once: this process may be cut off.
+        After some time without a leader they get a 503 immediately, because this process may be partitioned.
         """
         knows_leader = self.core.leads(now) or self.core.leader_control() is not None
         if knows_leader or self.leader_known_at is None:
@@ -156,7 +158,7 @@
         return self.leader_known_at is not None and now - self.leader_known_at > NO_LEADER_TIMEOUT_S
 
     def _requeue_postponed(self, now: float) -> None:
-        """Queue postponed calls again once a version was committed, or after `CALL_TIMEOUT_S`."""
+        """Queue postponed calls again after a version was committed, or after `CALL_TIMEOUT_S`."""
         version, _ = self.core.config_in_force()
         is_committed = version != self.postponed_at_version or not self.core.leads(now)
         waiting = self.postponed
@@ -193,12 +195,12 @@
         self.core.propose(change.token, change.value, version)
 
     def own_value(self, value: bytes) -> ConfigState | None:
-        """The state of a committed value if it is that of the change in flight: it needn't be decoded."""
+        """The state of a committed value if it is that of the change in flight, to avoid decoding it."""
         change = self.in_flight
         return change.config_state if change is not None and change.value == value else None
 
     def on_proposal_outcome(self, now: float, token: int, outcome: ProposalOutcome) -> None:
-        """The outcome of a proposal is known."""
+        """Handle the result of a proposal."""
         change = self.in_flight
         if change is None or change.token != token:
             return
@@ -213,16 +215,16 @@
         elif outcome == ProposalOutcome.REJECTED and waited_s <= CALL_TIMEOUT_S:
             self.rejected_at = now
             self.queue.appendleft(call)
-        else:  # it may be in force or not: a retry finds out
+        else:  # it may be in force or not; a retry will find out
             call.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"Retry-After: 0.2\r\n", b"")
         self.proceed(now)
 
     # Backends.
 
     def _on_backend_call(self, name: str, http_call: HttpCall, reply: Reply) -> None:
-        """A heartbeat (PUT) or deregistration (DELETE) of a backend.
+        """Handle a heartbeat (PUT) or deregistration (DELETE) of a backend.
 
-        A process that is no member of the core can't acknowledge it, and redirects to a member.
+        A process that is not a member of the core can't acknowledge it, and redirects to a member.
         """
         if (member := self.core.member_control()) is not None:
             redirect(member, http_call, reply)
@@ -240,9 +242,9 @@
         self.membership(call)
 
     def acknowledge_call(self, token: CallToken, target: Address = "") -> None:
-        """The membership plane has accepted a call of a backend.
+        """Answer a backend's call that was accepted by the membership plane.
 
-        `target` is the `control` address for the backend's later heartbeats ("": any).
+        `target` is the `control` address for the backend's next heartbeats ("": any).
         """
         reply = self.pending_heartbeats.pop(token, None)
         if reply is not None:
@@ -250,14 +252,14 @@
             reply(HTTPStatus.OK, JSON, json.dumps(answer).encode())
 
     def reject_call(self, token: CallToken) -> None:
-        """The membership plane can't acknowledge a call of a backend."""
+        """Reject a backend's call that the membership plane can't acknowledge."""
         reply = self.pending_heartbeats.pop(token, None)
         if reply is not None:
             reply(HTTPStatus.SERVICE_UNAVAILABLE, b"", b"")
 
 
 def redirect(to: Address, http_call: HttpCall, reply: Reply) -> None:
-    """Redirect a caller to another process with the same call (307)."""
+    """Redirect a caller with the same call to another process (307)."""
     reply(
         HTTPStatus.TEMPORARY_REDIRECT,
         b"Location: http://%s%s\r\n" % (to.encode(), http_call.path.encode("latin-1")),
--- a/gateway/programs/controller.py
+++ b/gateway/programs/controller.py
@@ -69,13 +69,13 @@
         self.disk.write(token, record)
 
     def tick(self, now: float) -> None:
-        """Pass on the time, and check whether the disk hangs."""
+        """Advance the timers, and check whether the disk is stalled."""
         self.controller_node.tick(now)
         self.disk.check_stall(now)
 
 
 async def serve(settings: Settings, ring: LogRing, file: SettingsFile) -> None:
-    """Serve until a signal to stop; then transfer leadership and leave the consensus group."""
+    """Serve until a stop signal, then transfer leadership and leave the consensus group."""
     loop = asyncio.get_running_loop()
     rng = random.Random(int.from_bytes(os.urandom(8)))
     store = Store(os.path.join(settings.own.data_dir or "/tmp", "register"))
@@ -84,18 +84,18 @@
     await controller.port.open()
     reload = Reload(settings, file, controller_node.set_seeds)
     stop = startup.stop_on_signal(loop, reload.read)
-    second = start_maintenance(loop, reload, ring)
+    maintenance = start_maintenance(loop, reload, ring)
     ticker = Ticker(loop, TICK_S, controller.tick)
     http_listener = HttpListener(loop, controller_node.answer)
     if settings.network.listen.control is not None:
         await http_listener.listen(settings.network.listen.control)
     await stop.wait()
     controller_node.handle_consensus(consensus_events.Leave())
-    left = steady() + 0.5 * settings.terms.bounds.grace_s
-    while steady() < left and not controller_node.raft.has_left:
+    deadline = steady() + 0.5 * settings.terms.bounds.grace_s
+    while steady() < deadline and not controller_node.raft.has_left:
         await asyncio.sleep(0.05)
     ticker.stop()
-    second.stop()
+    maintenance.stop()
     http_listener.close()
     await asyncio.sleep(0.1)
     controller.port.close()
--- a/gateway/programs/controller_node.py
+++ b/gateway/programs/controller_node.py
@@ -1,4 +1,4 @@
-"""A controller's state machines, connected to one another, without sockets, disk or clock."""
+"""A controller's state machines, connected to each other, without sockets, disk or a clock."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 from gateway.runtime.settings import Settings
 from gateway.state_machine import Address, FencingToken, Send
 
-PEER_ALIVE_S = 1.0  # a member heard within this time counts as live
-PUBLISH_INTERVAL_S = 0.5  # between two publications of the list of proxies
+PEER_ALIVE_S = 1.0  # a member counts as live if it was in contact within this time
+PUBLISH_INTERVAL_S = 0.5  # minimum interval of publications of the list of proxies
 DIGEST_BYTES = 8
 
 log = logging.getLogger("gateway.controller")
@@ -57,11 +57,11 @@
         """Send a message of a plane to another process, or drop it."""
 
     def write(self, token: int, record: PersistentState) -> None:
-        """Save a record; `ControllerNode.written` or `write_failed` is called with the token later on."""
+        """Save a record; `ControllerNode.written` or `write_failed` is called with the token later."""
 
 
 class PublishedCore(NamedTuple):
-    """What was last published of the core."""
+    """The last published state of the core."""
 
     members: tuple[Address, ...]
     position: LogPosition | None
@@ -70,22 +70,22 @@
 
 
 class PublishedIngresses(NamedTuple):
-    """What was last published of the proxies, and in which term."""
+    """The last published list of proxies, and the term of its publication."""
 
     term: int
     ingresses: list[ZonedAddress]
 
 
 class ControllerNode:
-    """The state machines of one controller: consensus, membership, quota and drift watch.
+    """The state machines of one controller: consensus, membership, quota and drift detection.
 
     Args:
         driver: Carries out the outputs.
-        clock: Gives monotonic seconds.
+        clock: Returns monotonic seconds.
         settings: The settings of the process.
-        stored: What its disk holds.
-        rng: For all state machines.
-        process_started_at: When this process started by that clock; None: now.
+        stored: The record loaded from disk.
+        rng: Used by all state machines.
+        process_started_at: When this process started by that clock; None means now.
     """
 
     def __init__(
@@ -137,19 +137,20 @@
     # The interface `ConsensusCore` of the control API.
 
     def leads(self, now: float) -> bool:
-        """Whether this process has the leader lease and can read the committed version."""
-        # A leader that can't read the committed version (of another release) must not decide on an older one.
+        """Whether this process has the leader lease and was able to decode the committed version."""
+        # A leader that can't decode the committed version (of another release) must not decide on an older
+        # one.
         return self.raft.has_leader_lease(now) and self.version == self.raft.committed_version
 
     def leader_control(self) -> Address | None:
-        """The `control` address of the leader, if that is another process; else None."""
+        """The `control` address of the leader, if the leader is another process; otherwise None."""
         leader = self.raft.leader
         if leader is None or leader == self.me:
             return None
         return self.control_at(leader)
 
     def member_control(self) -> Address | None:
-        """The `control` address of a member of the core, where this process is none and knows one."""
+        """The `control` address of a member of the core, if this process is not a member and knows one."""
         if self.me in self.membership.leases.core:
             return None
         members = self.raft.learner_role.core_addresses
@@ -157,11 +158,11 @@
         return self.control_at(self.rng.choice(others)) if others else None
 
     def control_at(self, process: Address) -> Address:
-        """Where a controller takes calls, by its own port: ports are alike on all machines."""
+        """The `control` address of a controller given its own address; ports are the same on all machines."""
         return f"{process.rpartition(':')[0]}:{self.control_port}"
 
     def propose(self, token: int, value: bytes, expected_version: int) -> None:
-        """Propose a value to replace the version `expected_version`."""
+        """Propose a value to replace version `expected_version`."""
         self.handle_consensus(consensus_events.Propose(token, value, expected_version))
 
     def config_in_force(self) -> tuple[int, ConfigState]:
@@ -171,15 +172,15 @@
     # Messages of other processes.
 
     def on_consensus_message(self, sender: Address, message: ConsensusMessage) -> None:
-        """A message of the consensus plane has arrived."""
+        """Handle a message of the consensus plane."""
         self.handle_consensus(consensus_events.Received(sender, message))
 
     def on_membership_message(self, sender: Address, message: MembershipMessage) -> None:
-        """A message of the membership plane has arrived."""
+        """Handle a message of the membership plane."""
         self.handle_membership(membership_events.Received(sender, message))
 
     def on_quota_message(self, sender: Address, message: QuotaMessage) -> None:
-        """A message of the quota plane has arrived."""
+        """Handle a message of the quota plane."""
         event = quota_events.Received(sender, message)
         if message.WhichOneof("kind") != "lease_request":
             self.handle_shard_owner(event)
@@ -190,7 +191,7 @@
     # Events of the state machines.
 
     def handle_consensus(self, event: consensus_events.Event) -> None:
-        """Pass an event to the consensus plane and carry out its outputs."""
+        """Pass an event to the consensus plane, and carry out its outputs."""
         now = self.clock()
         for output in self.raft.handle(now, event):
             match output:
@@ -206,7 +207,7 @@
                     assert_never(output)
 
     def handle_membership(self, event: membership_events.ControllerEvent) -> None:
-        """Pass an event to the membership plane and carry out its outputs."""
+        """Pass an event to the membership plane, and carry out its outputs."""
         now = self.clock()
         for output in self.membership.handle(now, event):
             match output:
@@ -222,16 +223,16 @@
                     self.fleet_monitor.on_config_advertised(now, output)
                 case membership_outputs.CoreMembers(_, members):
                     self.handle_consensus(consensus_events.KnownAddresses(members))
-                case _:  # backends and values concern proxies only
+                case _:  # backends and values only concern proxies
                     pass
 
     def handle_shard_owner(self, event: quota_events.OwnerEvent) -> None:
-        """Pass an event to the shard owner and send its messages."""
+        """Pass an event to the shard owner, and send its messages."""
         for send in self.shard_owner.handle(self.clock(), event):
             self.driver.send(send.to, QUOTA, send.message)
 
     def handle_shard_assigner(self, event: quota_events.AssignerEvent) -> None:
-        """Pass an event to the shard assigner and carry out its outputs."""
+        """Pass an event to the shard assigner, and carry out its outputs."""
         for output in self.shard_assigner.handle(self.clock(), event):
             match output:
                 case Send(to, message):
@@ -244,21 +245,21 @@
                     assert_never(output)
 
     def set_seeds(self, addresses: tuple[Address, ...]) -> None:
-        """The settings have other seeds."""
+        """Apply changed seeds from the settings."""
         self.handle_membership(membership_events.SetSeeds(addresses))
         self.handle_consensus(consensus_events.KnownAddresses(addresses))
 
     def written(self, token: int) -> None:
-        """The record with this token is on disk."""
+        """Handle the completion of a disk write."""
         self.handle_consensus(consensus_events.WriteCompleted(token))
 
     def write_failed(self, token: int, reason: str) -> None:
-        """The record with this token couldn't be saved."""
+        """Handle a failed disk write."""
         log.warning("disk write failed: %s", reason)
         self.handle_consensus(consensus_events.WriteFailed(token, reason))
 
     def on_committed(self, committed: consensus_outputs.Committed) -> None:
-        """A value was committed: apply it here, and publish it to the followers."""
+        """Handle a committed value: apply it here, and publish it to the followers."""
         try:
             self.config_state = self.control.own_value(committed.value) or ConfigState.decode(
                 committed.value, self.config_state
@@ -282,13 +283,13 @@
         config_events.config_in_force(self.me, committed.version, document.generation, is_first)
 
     def push_allowances(self) -> None:
-        """Pass the tenants' rates and bursts of the document to the shard owner."""
+        """Pass the tenants' rates and bursts in the document to the shard owner."""
         document = self.config_state.document
         if document is not None:
             self.handle_shard_owner(quota_events.Allowances.of(document.tenants.values()))
 
     def answer(self, http_call: HttpCall, reply: Reply) -> None:
-        """Answer an HTTP call to `control`."""
+        """Answer an HTTP call to the `control` address."""
         now = self.clock()
         path = http_call.path.partition("?")[0]
         if http_call.method == "GET" and path == CORE:
@@ -302,7 +303,7 @@
             self.control.answer(now, http_call, reply)
 
     def tick(self, now: float) -> None:
-        """Pass the time to all state machines."""
+        """Advance all state machines."""
         self.handle_consensus(consensus_events.Tick())
         self.publish_core(now)
         self.control.proceed(now)
@@ -319,11 +320,11 @@
         self.owner_report.tick(now)
 
     def windows_in_force(self) -> dict[str, Window]:
-        """The rate limit windows that the shard owner goes by, by the tenant's label."""
+        """The rate limit windows used by the shard owner, by tenant label."""
         return dict(self.shard_owner.windows.values())
 
     def publish_leadership(self, now: float) -> None:
-        """Inform the shard assigner whether this process leads, and which controllers are live."""
+        """Inform the shard assigner whether this process is the leader, and which controllers are live."""
         raft = self.raft
         leader_role = raft.leader_role
         term = raft.term if leader_role is not None else 0
@@ -350,7 +351,7 @@
         self.handle_membership(membership_events.Publish(ValueKind.INGRESSES, fencing_token, data))
 
     def publish_core(self, now: float) -> None:
-        """Publish the core's members and the leader to the other planes when they change."""
+        """Publish changes of the core's members and of the leader to the other planes."""
         raft = self.raft
         committed = raft.committed_entry
         until = raft.quorum_contact_until()
@@ -362,7 +363,8 @@
         core = PublishedCore(members, position, raft.leader, quorate)
         if core == self.published_core or not members:
             return
-        self.published_core = core  # right after a start from disk: heartbeats need no election
+        # Also directly after a start from disk, because heartbeats need no election.
+        self.published_core = core
         self.handle_membership(membership_events.SetCore(members))
         if committed is not None and raft.leader_role is not None and quorate:
             data = membership_codec.encode_members(members, self.me)
--- a/gateway/programs/drift_monitor.py
+++ b/gateway/programs/drift_monitor.py
@@ -1,4 +1,4 @@
-"""Drift watch at a proxy: connects the drift detector to live requests and the membership plane."""
+"""Drift detection at a proxy: connects the drift detector to live requests and the membership plane."""
 
 from __future__ import annotations
 
@@ -23,41 +23,41 @@
 from gateway.runtime.settings import Bounds
 from gateway.state_machine import Address
 
-CHECK_INTERVAL_S = 0.25  # between two inputs of the time and of the last confirmation by the core
-QUOTA_CHECK_INTERVAL_S = 1.0  # between two checks of the quotas and limits in force
-MAX_FINDING_LENGTH = 200  # characters of a finding that are sent to the core
+CHECK_INTERVAL_S = 0.25  # interval at which the detector receives the time and the core's last confirmation
+QUOTA_CHECK_INTERVAL_S = 1.0  # interval of checks of the quotas and limits in force
+MAX_FINDING_LENGTH = 200  # maximum characters of a finding that is sent to the core
 
 log = logging.getLogger("gateway.drift")
 
 
 class Node(Protocol):
-    """What the drift monitor needs of the proxy."""
+    """The parts of a proxy that the drift monitor uses."""
 
     compiled_config: CompiledConfig | None
 
     def clock(self) -> float:
-        """Monotonic seconds."""
+        """Monotonic time in seconds."""
 
     def confirmed_config(self, now: float) -> ConfirmedConfig | None:
-        """The newest version by a majority of the core, and when that was confirmed; or None."""
+        """The newest version according to a majority of the core, and when that was confirmed; or None."""
 
     def fetch(self, version: int, source: Address, again: bool) -> None:
-        """Fetch a version from `source` (empty: the core); `again`: even if it is there already."""
+        """Fetch a version from `source` (empty: the core); with `again`, even if it was fetched before."""
 
     def rebuild(self, version: int, value: bytes) -> None:
-        """Rebuild the compiled configuration from the value of a version, reusing nothing."""
+        """Rebuild the compiled configuration from the value of a version, without reusing anything."""
 
     def report_running_config(self, version: int, digest: int, findings: int, finding: str) -> None:
-        """Report to the core and the neighbours what runs here."""
+        """Report the running configuration to the core and to peers."""
 
     def limit_differences(self, document: Document) -> list[Difference]:
-        """Where the quotas and limits in force differ from the document."""
+        """The differences between the quotas and limits in force and the document."""
 
 
 class DriftMonitor:
     """Connects the drift detector to a proxy.
 
-    Of `bounds` it uses `apply_s`, and with `revoke_closed` also `revoke_s`: requests are then rejected once
+    It uses `apply_s` of `bounds` and, if `revoke_closed` is set, also `revoke_s`: requests are rejected once
     the last contact with the core is older than that.
     """
 
@@ -69,7 +69,7 @@
         self.value = b""
         self.ready = True
         self.refusal_reason = ""  # why requests are rejected; empty if they aren't
-        self.refetching = False  # the held version is being fetched again
+        self.refetching = False  # the stored version is being fetched again
         self.rejected_requests = 0
         self.next_check_at = 0.0
         self.next_quota_check_at = 0.0
@@ -82,7 +82,7 @@
         """Check the decision on a live request.
 
         Returns:
-            The decision, or the one after a repair; None: reject the request.
+            The decision, or another one after a repair; None means that the request is rejected.
         """
         if self.live is None:
             return route_decision
@@ -91,7 +91,7 @@
             return None
         try:
             result = self.live.check(self.node.clock(), host, path, key, route_decision)
-        except Exception as error:  # caused by corrupt state: it must not break the request
+        except Exception as error:  # due to corrupt state, which must not fail the request
             reason = f"{type(error).__name__}: {error}"
             result = CheckResult(Check.SAMPLE, [Difference("a look", reason, "possible")])
         if not result.differences:
@@ -116,7 +116,7 @@
         expected: ExpectedDigests,
         compiled_config: CompiledConfig,
     ) -> None:
-        """A version was applied here; `acknowledged` is its digest by the core (0: unknown)."""
+        """Handle an applied version; `acknowledged` is its digest according to the core (0: unknown)."""
         self.value = value
         self.refetching = False
         self.live = LiveCheck(document, expected, compiled_config, self.live)
@@ -125,16 +125,16 @@
         self._handle(drift_events.VersionApplied(version, running, acknowledged or expected.total))
 
     def config_unreadable(self, version: int, reason: str) -> None:
-        """A version was received that can't be read."""
+        """Handle a received version that can't be read."""
         self._handle(drift_events.VersionUnreadable(version, reason))
 
     def on_config_advertised(self, config: ConfigAdvertised) -> None:
-        """A version was advertised; its source is empty if its sender doesn't have it."""
+        """Handle an advertised version; its source is empty if the sender doesn't have it."""
         digest = int.from_bytes(config.digest)
         self._handle(drift_events.VersionSeen(config.version, digest, config.source))
 
     def tick(self) -> None:
-        """Time has passed: feed the detector and run the periodic checks."""
+        """Advance the detector and run the periodic checks."""
         now = self.node.clock()
         is_early = now < self.next_check_at <= now + CHECK_INTERVAL_S
         if is_early and not self.drift_detector.core_not_heard:
@@ -155,7 +155,7 @@
     # Outputs of the drift detector.
 
     def _handle(self, event: drift_events.DetectorEvent) -> None:
-        """Pass an event to the drift detector and carry out its outputs."""
+        """Pass an event to the drift detector, and carry out its outputs."""
         detector = self.drift_detector
         findings_before = detector.finding_count
         for output in detector.handle(self.node.clock(), event):
@@ -181,7 +181,7 @@
                 assert_never(output)
 
     def _set_refusal_reason(self, reason: str) -> None:
-        is_usual = CORE_NOT_HEARD in (reason, self.refusal_reason)  # right after a start
+        is_usual = CORE_NOT_HEARD in (reason, self.refusal_reason)  # shortly after a start
         self.refusal_reason = reason
         level = logging.INFO if is_usual else logging.WARNING
         log.log(level, "drift: requests rejected: %s", reason or "no longer")
@@ -197,7 +197,7 @@
     # Status and metrics.
 
     def answer(self, http_call: HttpCall, reply: Reply, quota_report: QuotaReport) -> bool:
-        """Answer a call for status or metrics, with those of `quota_report`; False if it is another call."""
+        """Answer a call for status or metrics, including `quota_report`'s; False for any other call."""
         now = self.node.clock()
         return answer_status_call(now, http_call, reply, self.status, self.metrics, quota_report)
 
--- a/gateway/programs/fleet_monitor.py
+++ b/gateway/programs/fleet_monitor.py
@@ -1,4 +1,4 @@
-"""Drift watch at a controller: which configuration all nodes run, and the quotas in force here."""
+"""Drift detection at a controller: the configurations of all nodes, and the quotas in force here."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from gateway.runtime.http_call import HttpCall, Reply
 from gateway.state_machine import Address
 
-CHECK_INTERVAL_S = 1.0  # between two checks of the quotas in force
-MAX_NODES_SHOWN = 1024  # nodes in one answer
+CHECK_INTERVAL_S = 1.0  # interval of checks of the quotas in force
+MAX_NODES_SHOWN = 1024  # maximum number of nodes in one answer
 
 log = logging.getLogger("gateway.drift")
 
 
 class FleetMonitor:
-    """Connects the fleet status, and the drift detector of this process's own quotas, to a controller.
+    """Connects a controller to the fleet status and to the drift detector of this process's own quotas.
 
     `push_allowances` passes the document's quotas to the quota plane again. `apply_s` is the time in seconds
-    in which a version has to be in force, `span_s` the span of the quota rule.
+    within which a version must be in force, and `span_s` the span of the quota rule.
     """
 
     def __init__(
@@ -43,24 +43,24 @@
         self.next_check_at = 0.0
 
     def on_running_config(self, now: float, config: RunningConfig) -> None:
-        """A node reports which version and digest it runs, and its findings."""
+        """Handle a node's report of its running version and digest, and of its findings."""
         digest = int.from_bytes(config.digest)
         report = drift_events.NodeReport(config.node, config.version, digest, config.findings, config.finding)
         self._carry_out(self.fleet.handle(now, report))
 
     def on_config_advertised(self, now: float, config: ConfigAdvertised) -> None:
-        """A version was advertised by a node."""
+        """Handle a version advertised by a node."""
         digest = int.from_bytes(config.digest)
         self._handle_drift(now, drift_events.VersionSeen(config.version, digest, config.source))
 
     def config_applied(self, now: float, version: int, digest: int, document: Document) -> None:
-        """A version was acknowledged and applied here."""
+        """Handle a version that was acknowledged and applied here."""
         self.quota_windows = expected_windows(document, self.span_s)
         self._carry_out(self.fleet.handle(now, drift_events.VersionAcknowledged(version, digest)))
         self._handle_drift(now, drift_events.VersionApplied(version, digest, digest))
 
     def tick(self, now: float, quorate: bool, windows: Callable[[], Windows]) -> None:
-        """Time has passed. `windows` returns the rate limit windows in force here."""
+        """Advance the timers. `windows` returns the rate limit windows in force here."""
         if now < self.next_check_at:
             return
         self.next_check_at = now + CHECK_INTERVAL_S
@@ -76,11 +76,11 @@
             self._handle_drift(now, found)
 
     def _handle_drift(self, now: float, event: drift_events.DetectorEvent) -> None:
-        """Pass an event to the drift detector and carry out its outputs."""
+        """Pass an event to the drift detector, and carry out its outputs."""
         self._carry_out(self.drift_detector.handle(now, event))
 
     def _carry_out(self, outputs: Sequence[DetectorOutput]) -> None:
-        """Carry out outputs: log findings, repair the quotas. Nothing else of them concerns a controller."""
+        """Log findings and restore the quotas; other outputs don't concern a controller."""
         for output in outputs:
             if isinstance(output, Finding):
                 log.warning("drift: %s", output)
@@ -97,7 +97,7 @@
         more: Mapping[str, object],
         quota_report: QuotaReport,
     ) -> bool:
-        """Answer a call for status or metrics; False if it is another call.
+        """Answer a call for status or metrics; False for any other call.
 
         `more` is added to the status, `quota_report` to both.
         """
@@ -111,7 +111,7 @@
         )
 
     def status(self, now: float) -> dict[str, object]:
-        """The JSON object of `GET /-/status`: all known nodes, and findings reported or made here."""
+        """The JSON object of `GET /-/status`: all known nodes, and findings made here or reported."""
         port = self.me.rpartition(":")[2]
         detector = self.drift_detector
         nodes = [
--- a/gateway/programs/proxy.py
+++ b/gateway/programs/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy program: forwards clients' requests by the configuration and backends that it follows."""
+"""The proxy program: forwards clients' requests according to the configuration and backends it follows."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 TICK_S = 0.05
 SILENT_S = 2.0  # TCP user timeout towards backends
-BACKEND_IDLE_S = 10.0  # backends close connections that were idle for so long
-BODY_MEMORY_DIVISOR = 8  # large bodies may take this fraction of the memory together
-RESERVED_DESCRIPTORS = 300  # file descriptors for other purposes than clients and backends
+BACKEND_IDLE_S = 10.0  # backends close connections that have been idle for this long
+BODY_MEMORY_DIVISOR = 8  # all large bodies together may use this fraction of the memory
+RESERVED_DESCRIPTORS = 300  # file descriptors not used for clients and backends
 
 
 class ProxyServer:
     """Connects the state machines and the ingress of a `ProxyNode` to the network."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, rng: random.Random) -> None:
-        half = max(32, (settings.own.limits.max_fds - RESERVED_DESCRIPTORS) // 2)
-        self.upstream = Upstream(loop, CONNECT_TIMEOUT_S, BACKEND_IDLE_S, half, SILENT_S)
+        max_connections = max(32, (settings.own.limits.max_fds - RESERVED_DESCRIPTORS) // 2)
+        self.upstream = Upstream(loop, CONNECT_TIMEOUT_S, BACKEND_IDLE_S, max_connections, SILENT_S)
         self.proxy_node = ProxyNode(self, loop, steady, settings, self.upstream, rng)
         memory = int(1e6 * settings.own.limits.memory_mb)
-        self.server = Server(loop, self.proxy_node.ingress, half, memory // BODY_MEMORY_DIVISOR)
+        self.server = Server(loop, self.proxy_node.ingress, max_connections, memory // BODY_MEMORY_DIVISOR)
         self.port = PeerTransport(
             loop,
             self.proxy_node.me,
@@ -71,19 +71,19 @@
         return self.server.limits
 
     def ready(self, http_call: HttpCall, reply: Reply) -> None:
-        """Answer readiness probes, and calls for status and metrics."""
+        """Answer readiness checks, and calls for status and metrics."""
         if not self.proxy_node.drift_monitor.answer(http_call, reply, self.proxy_node.client_report):
             reply(200 if self.proxy_node.ready() else 503, b"", b"")
 
 
 async def serve(settings: Settings, ring: LogRing, file: SettingsFile) -> None:
-    """Serve until a signal to stop, then drain: finish open requests and exit."""
+    """Serve until a stop signal, then drain: finish open requests and exit."""
     loop = asyncio.get_running_loop()
     proxy = ProxyServer(loop, settings, random.Random(int.from_bytes(os.urandom(8))))
     await proxy.port.open()
     reload = Reload(settings, file, proxy.proxy_node.set_seeds)
     stop = startup.stop_on_signal(loop, reload.read)
-    second = start_maintenance(loop, reload, ring)
+    maintenance = start_maintenance(loop, reload, ring)
     ticker = Ticker(
         loop,
         TICK_S,
@@ -102,7 +102,7 @@
     await proxy.proxy_node.leave_quota()
     ticker.stop()
     proxy.proxy_node.client_report.report(steady())
-    second.stop()
+    maintenance.stop()
     http_listener.close()
     proxy.upstream.close()
     proxy.port.close()
--- a/gateway/programs/proxy_node.py
+++ b/gateway/programs/proxy_node.py
@@ -1,4 +1,4 @@
-"""A proxy's state machines and its ingress, connected to one another, without sockets or clock."""
+"""A proxy's state machines and its ingress, connected to each other, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -43,9 +43,10 @@
 from ingress.net.http_messages import read_address
 from ingress.net.upstream import Upstream
 
-CONNECT_TIMEOUT_S = 0.3  # until a connection to a backend is established
-LEAVE_POLL_S = 0.02  # between two checks whether the shard owners know that the quota client leaves
-ASSUMED_INGRESSES = 12  # until the leader publishes their number
+CONNECT_TIMEOUT_S = 0.3  # timeout for a connection to a backend
+# Interval of checks whether the shard owners have confirmed that the quota client is leaving.
+LEAVE_POLL_S = 0.02
+ASSUMED_INGRESSES = 12  # number of proxies that is assumed until the leader publishes it
 
 log = logging.getLogger("gateway.proxy")
 
@@ -64,9 +65,9 @@
 
 
 class ProxyNode:
-    """The state machines of one proxy: membership, quota client, drift watch, and the ingress.
+    """The state machines of one proxy: membership, quota client, drift detection, and the ingress.
 
-    Of `loop` only timers and time are used. `clock` gives monotonic seconds.
+    Only the timers and the time of `loop` are used. `clock` returns monotonic seconds.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
         terms = services.settings(ASSUMED_INGRESSES, CONNECT_TIMEOUT_S, settings.own.zone)
 
         def budget(ingresses: int) -> RetryBudget:
-            """A service's retry budget."""
+            """Create the retry budget of a service."""
             return RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s, ingresses)
 
         decisions = Decisions(self.quota_client, terms, budget, rng)
@@ -110,11 +111,11 @@
     # Messages of other processes.
 
     def on_membership_message(self, sender: Address, message: MembershipMessage) -> None:
-        """A message of the membership plane has arrived."""
+        """Handle a message of the membership plane."""
         self.handle_membership(membership_events.Received(sender, message))
 
     def on_quota_message(self, sender: Address, message: QuotaMessage) -> None:
-        """A message of the quota plane has arrived."""
+        """Handle a message of the quota plane."""
         self.handle_quota(quota_events.Received(sender, message))
 
     def send_quota_message(self, send: Send) -> None:
@@ -123,33 +124,34 @@
         self.arm_quota_timer()
 
     def handle_quota(self, event: quota_events.ClientEvent) -> None:
-        """Pass an event to the quota client, by way of the ingress."""
+        """Pass an event to the quota client through the ingress."""
         self.ingress.handle_quota(event)
         self.arm_quota_timer()
 
     async def leave_quota(self) -> None:
-        """All requests are done: return the quota shares, until the owners know or were told often enough."""
+        """Return the quota shares after all requests have finished; waits for confirmation, up to a limit."""
         self.handle_quota(quota_events.Leave())
         while not self.quota_client.has_left:
             await asyncio.sleep(LEAVE_POLL_S)
 
     def arm_quota_timer(self) -> None:
-        """Set the timer for the next time that the quota client is due."""
+        """Set the timer for the next tick of the quota client."""
         due = self.quota_client.due()
         if self.quota_timer is not None:
             if self.quota_timer_at <= due:
                 return
             self.quota_timer.cancel()
-        self.quota_timer_at = due  # kept here: uvloop returns a plain handle for a timer that is due at once
+        # Stored, because uvloop returns a handle without a time for a timer that is due immediately.
+        self.quota_timer_at = due
         self.quota_timer = self.loop.call_at(due, self.on_quota_timer)
 
     def on_quota_timer(self) -> None:
-        """The timer of the quota client has fired."""
+        """Handle the timer of the quota client."""
         self.quota_timer = None
         self.handle_quota(quota_events.Tick())
 
     def handle_membership(self, event: membership_events.ProxyEvent) -> None:
-        """Pass an event to the membership plane and carry out its outputs."""
+        """Pass an event to the membership plane, and carry out its outputs."""
         for output in self.membership.handle(self.clock(), event):
             match output:
                 case Send(to, message):
@@ -162,7 +164,7 @@
                     self.on_value(output)
                 case membership_outputs.ConfigAdvertised():
                     self.drift_monitor.on_config_advertised(output)
-                case membership_outputs.CoreMembers():  # the membership plane follows them itself
+                case membership_outputs.CoreMembers():  # handled by the membership plane itself
                     pass
                 case _:
                     assert_never(output)
@@ -171,11 +173,11 @@
             self.client_report.tick(self.clock())
 
     def on_backend(self, backend: Backend) -> None:
-        """A backend was added or has changed."""
+        """Handle an added or changed backend."""
         try:
             address = read_address(backend.address)
         except ValueError:
-            log.warning("backend %s: no address: %r", backend.id, backend.address)
+            log.warning("backend %s: invalid address %r", backend.id, backend.address)
             return
         phase = io.Phase.STOPPING if backend.draining else io.Phase.RUNNING
         slow_start_left_s = max(0.0, backend.slow_start_until - self.clock())
@@ -190,11 +192,11 @@
         )
 
     def set_seeds(self, addresses: tuple[Address, ...]) -> None:
-        """The settings have other seeds."""
+        """Apply changed seeds from the settings."""
         self.handle_membership(membership_events.SetSeeds(addresses))
 
     def on_value(self, value: membership_outputs.ValueUpdated) -> None:
-        """A published value: the list of proxies, the shard map, or a configuration."""
+        """Handle a published value: the list of proxies, the shard map, or a configuration."""
         if value.kind == ValueKind.INGRESSES:
             self.ingress.set_peers(self.me, self.zone, decode_ingresses(value.data))
         elif value.kind == ValueKind.SHARD_MAP:
@@ -206,7 +208,7 @@
                 self.apply_config(version, value.data, int.from_bytes(value.digest), afresh=again)
 
     def apply_config(self, version: int, value: bytes, acknowledged: int, afresh: bool = False) -> None:
-        """Apply a newer version of the configuration, or rebuild the same one: `afresh` reuses nothing."""
+        """Apply a newer version of the configuration, or rebuild the same one; `afresh` reuses nothing."""
         try:
             config_state = ConfigState.decode(value, None if afresh else self.config_state)
         except MalformedStateError as error:
@@ -238,7 +240,7 @@
     # The interface `Node` of the drift monitor.
 
     def confirmed_config(self, now: float) -> ConfirmedConfig | None:
-        """The newest version by a majority of the core, and when that was confirmed; or None."""
+        """The newest version according to a majority of the core, and when that was confirmed; or None."""
         return self.membership.confirmed_config(now)
 
     def fetch(self, version: int, source: Address, again: bool) -> None:
@@ -250,13 +252,13 @@
         self.apply_config(version, value, self.drift_monitor.drift_detector.acknowledged_digest, afresh=True)
 
     def report_running_config(self, version: int, digest: int, findings: int, finding: str) -> None:
-        """Report the version and digest that run here, and the findings."""
+        """Report the running version and digest, and the findings."""
         self.handle_membership(
             membership_events.ConfigApplied(version, digest.to_bytes(8), findings, finding)
         )
 
     def limit_differences(self, document: Document) -> list[Difference]:
-        """Where limits and rate limit windows in force differ from the document."""
+        """The differences between the limits and rate limit windows in force and the document."""
         limits = document.limits
         running = self.driver.limits()
         found = [
@@ -268,6 +270,6 @@
         return found + quota_differences(self.quota_windows, windows)
 
     def ready(self) -> bool:
-        """Readiness: a confirmed configuration is in force, a backend is known, and no shutdown has begun."""
+        """Whether a confirmed configuration is in force, a backend is known, and no shutdown has started."""
         has_config = self.compiled_config is not None and self.drift_monitor.ready
         return has_config and bool(self.ingress.serving) and not self.leaving
--- a/gateway/programs/quota_report.py
+++ b/gateway/programs/quota_report.py
@@ -1,6 +1,6 @@
-"""Reports of the quota plane: a log record of counts each 5 s, metrics, and a part of the status.
+"""Reports of the quota plane: a log record of counts every 5 s, metrics, and fields of the status.
 
-The record stays in the log ring like all INFO records; with `--counts` the program writes it at once.
+The record stays in the log ring like all INFO records; with `--counts`, the program writes it immediately.
 """
 
 from __future__ import annotations
@@ -28,26 +28,26 @@
     """The quota plane's part of `GET /-/status` and `GET /-/metrics`."""
 
     def status(self, now: float) -> dict[str, object]:
-        """Fields that are added to the status."""
+        """Fields to be added to the status."""
 
     def metrics(self, now: float) -> list[Metric]:
-        """Metrics that are added to the scrape."""
+        """Metrics to be added to the scrape."""
 
 
 class _PeriodicReport:
-    """Logs each 5 s what has changed since the last record; an idle process logs nothing."""
+    """Logs the changes since the last record every 5 s; an idle process logs nothing."""
 
     def __init__(self, me: Address) -> None:
         self.me = me
         self.due = 0.0
 
     def tick(self, now: float) -> None:
-        """Time has passed: log a record if it is due."""
+        """Log a record if one is due."""
         if now >= self.due:
             self.report(now)
 
     def report(self, now: float) -> None:
-        """Log a record now, if anything has changed."""
+        """Log a record now if anything has changed."""
         self.due = now + REPORT_INTERVAL_S
         if changes := self.changes(now):
             log.info({"node": self.me, **changes})
@@ -58,7 +58,7 @@
 
 
 class ClientReport(_PeriodicReport):
-    """Report of a quota client: how requests were decided, and the time that took."""
+    """Report of a quota client: how requests were decided, and how long the decisions took."""
 
     def __init__(self, me: Address, quota_client: QuotaClient) -> None:
         super().__init__(me)
@@ -68,10 +68,10 @@
         self.refunded = 0
 
     def changes(self, now: float) -> dict[str, object]:
-        """What has changed since the last record.
+        """The changes since the last record.
 
-        `charged`: by tenant and precedence the counts by `DECISION_LABELS`; `times`: by `LATENCY_LABELS` the
-        counts by number of the bucket; `back`: units refunded.
+        `charged` has the counts by `DECISION_LABELS` for each tenant and precedence, `times` the counts by
+        bucket number for each of `LATENCY_LABELS`, and `back` the number of refunded units.
         """
         statistics = self.quota_client.statistics
         charged = dict[str, dict[int, list[int]]]()
@@ -93,7 +93,7 @@
         return {"charged": charged, "times": times, "back": back}
 
     def status(self, now: float) -> dict[str, object]:
-        """Each tenant's allowance, remaining units as last reported, the age of that, and the own share."""
+        """Each tenant's allowance, last reported remaining units and their age, and this client's share."""
         return {
             "allowance": [
                 {
@@ -109,7 +109,7 @@
         }
 
     def metrics(self, now: float) -> list[Metric]:
-        """Counts by kind of decision, and histograms of the time in seconds that charging adds."""
+        """Counts by kind of decision, and histograms of the time in seconds added by charges."""
         statistics = self.quota_client.statistics
         totals = [
             sum(counts[n] for counts in statistics.decided.values()) for n in range(len(DECISION_LABELS))
@@ -137,23 +137,24 @@
 
 
 class OwnerReport(_PeriodicReport):
-    """Report of a shard owner: what remains of each counter, and whether the views of all nodes agree."""
+    """Report of a shard owner: the remaining units of each count, and whether all views agree."""
 
     def __init__(self, me: Address, shard_owner: ShardOwner) -> None:
         super().__init__(me)
         self.shard_owner = shard_owner
-        self.reported = (0, 0, 0)  # shards gained, lost, and units refunded, as of the last record
+        self.reported = (0, 0, 0)  # shards gained, shards lost and units refunded, as of the last record
 
     def compared(self, now: float) -> list[CounterComparison]:
-        """Each tenant counted here, with all views of its counter."""
+        """Each tenant counted here, with all views of its count."""
         return self.shard_owner.view_audit.compare(now, self.shard_owner.counter_states(now))
 
     def changes(self, now: float) -> dict[str, object]:
-        """What has changed since the last record.
+        """The changes since the last record.
 
-        `held`: by tenant its allowance, remaining and reserved units, number of views, largest difference,
-        most units by which a view is outside of what was reported, and the oldest view's age in seconds.
-        `gained`, `lost`: shards; `back`: units refunded.
+        `held` has for each tenant its allowance, remaining and reserved units, the number of views, their
+        largest difference, the most units by which a view is outside of what was reported, and the age of the
+        oldest view in seconds. `gained` and `lost` are numbers of shards, and `back` is the number of
+        refunded units.
         """
         view_audit = self.shard_owner.view_audit
         counts = view_audit.gained_shards, view_audit.lost_shards, view_audit.refunded
@@ -176,7 +177,7 @@
         return {"held": counters, "gained": gained, "lost": lost, "back": back}
 
     def status(self, now: float) -> dict[str, object]:
-        """Each tenant counted here, with each node's view of its counter."""
+        """Each tenant counted here, with each node's view of its count."""
         return {
             "allowance": [
                 {
@@ -199,7 +200,7 @@
         }
 
     def metrics(self, now: float) -> list[Metric]:
-        """What remains of each counter, and how far views are from it."""
+        """The remaining units of each count, and the differences of the views."""
         found = self.compared(now)
         labels = []
         for c in found:
@@ -235,5 +236,5 @@
 
 
 def beyond(c: CounterComparison) -> int:
-    """The most units by which a view of a counter is outside of what its owner had said."""
+    """The most units by which a view of a count is outside of what its owner has reported."""
     return max((v.outside_by or 0 for v in c.views), default=0)
--- a/gateway/programs/settings_reload.py
+++ b/gateway/programs/settings_reload.py
@@ -1,4 +1,4 @@
-"""Reload of the settings file while a program runs: polled each second, and on SIGHUP."""
+"""Reload of the settings file of a running program: polled every second, and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 CHECK_INTERVAL_S = 1.0
 RELOADABLE = ("network.seeds",)
-"""Fields that apply while running; all others apply from the next start."""
+"""Fields that are applied while running; all others are applied at the next start."""
 
 log = logging.getLogger("gateway.settings_reload")
 
 
 class Reload:
-    """Applies changed seeds: calls `seeds` with the own ports of their controllers.
+    """Applies changed seeds by calling `seeds` with the addresses of their controllers.
 
-    Other changes are logged, as they apply from the next start. A file with faults changes nothing.
+    Other changes are logged, because they are applied at the next start. A file with faults changes nothing.
     """
 
     def __init__(
@@ -39,15 +39,15 @@
             self.read()
 
     def read(self) -> None:
-        """Read the file and apply its changes; for SIGHUP."""
+        """Read the file and apply its changes; called on SIGHUP."""
         found = self.file.read()
         if isinstance(found, Err):
             for fault in found.err_value:
                 log.warning("settings stay as they are: %s", fault)
             return
-        former = self.settings
+        previous = self.settings
         self.settings = found.ok_value
-        changes = differences(former, self.settings)
+        changes = differences(previous, self.settings)
         if waiting := [name for name in changes if name not in RELOADABLE]:
             log.info("changed settings that need a restart: %s", ", ".join(waiting))
         if "network.seeds" in changes:
@@ -56,7 +56,7 @@
 
 
 def start_maintenance(loop: asyncio.AbstractEventLoop, reload: Reload, ring: LogRing) -> Ticker:
-    """Start what a program does each second: check its settings file, and write pending logs."""
+    """Start the maintenance that runs every second: checking the settings file, and writing pending logs."""
 
     def maintain(now: float) -> None:
         """Write pending logs, and check the settings file."""
@@ -67,7 +67,7 @@
 
 
 def seed_addresses(settings: Settings) -> tuple[Address, ...]:
-    """Addresses of the own ports of the seeds' controllers."""
+    """Addresses of the seeds' controllers for messages between processes."""
     return tuple(settings.controller_at(seed) for seed in settings.network.seeds)
 
 
--- a/gateway/programs/startup.py
+++ b/gateway/programs/startup.py
@@ -1,4 +1,4 @@
-"""What both programs share: reading settings at the start, planes on the wire, signals, and exit codes."""
+"""Code shared by both programs: reading settings at startup, plane numbers, signals, and exit codes."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 CONSENSUS = 1
 MEMBERSHIP = 2
 QUOTA = 3
-"""Numbers of the planes on the wire."""
+"""Numbers of the planes in messages."""
 
 COUNTS = "--counts"
-"""Option with which a program writes its quota records at once, for `python -m simulation allowance`."""
+"""Option to write quota records immediately, for `python -m simulation allowance`."""
 
 log = logging.getLogger("gateway.startup")
 
 
 def consensus_slot(message: consensus_pb2.Message) -> int | None:
-    """Slot of a queued message: an entry is the whole state, so a later one replaces it."""
+    """Queue slot of a message: an entry is the complete state, so a later one replaces an earlier one."""
     return consensus_pb2.APPEND_ENTRIES if message.kind == consensus_pb2.APPEND_ENTRIES else None
 
 
 def membership_slot(message: membership_pb2.Message) -> tuple[str, int] | None:
-    """Slot of a queued message: later replies build on confirmed positions, values are the newest."""
+    """Queue slot of a message: later replies include earlier ones, and only the newest value counts."""
     match message.WhichOneof("kind"):
         case "value":
             return "value", message.value.kind
@@ -47,17 +47,17 @@
 
 
 def zone_numbers(settings: Settings) -> dict[str, int]:
-    """Index of each zone among all zones in order of names, the same on every machine."""
+    """The index of each zone among all zones in order of their names, which is the same on every machine."""
     return {zone: number for number, zone in enumerate(sorted(settings.network.zones))}
 
 
 def zone_number(settings: Settings) -> int:
-    """Index of the own zone; 0 if unknown."""
+    """The index of this process's zone; 0 if unknown."""
     return zone_numbers(settings).get(settings.own.zone, 0)
 
 
 def stop_on_signal(loop: asyncio.AbstractEventLoop, reload: Callable[[], None]) -> asyncio.Event:
-    """An event that SIGTERM or SIGINT sets; SIGHUP calls `reload`."""
+    """Create an event that SIGTERM or SIGINT sets; SIGHUP calls `reload`."""
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -66,9 +66,9 @@
 
 
 def run(program: str, serve: Callable[[Settings, LogRing, SettingsFile], Awaitable[None]]) -> int:
-    """Run a program with the settings file that the environment names; returns the exit code.
+    """Run a program with the settings file named by the environment; returns the exit code.
 
-    Faults in the file and addresses that can't be bound are printed to standard error, with code 2.
+    Faults in the file and addresses that can't be bound are printed to standard error, with exit code 2.
     """
     file = files.SettingsFile(os.environ)
     found = file.read()
@@ -77,8 +77,8 @@
             print(f"{program}: {fault}", file=sys.stderr)
         return 2
     ring = LogRing.install(immediate_logger=QUOTA_LOGGER if COUNTS in sys.argv else "")
-    log.info("%s begins", program)  # marks a new process in the ring
-    gc.freeze()  # objects made at startup are never collected
+    log.info("%s begins", program)  # marks the start of a process in the ring
+    gc.freeze()  # objects created at startup are never collected
     try:
         uvloop.run(serve(found.ok_value, ring, file))  # type: ignore[arg-type]
     except OSError as error:
--- a/gateway/programs/status_endpoint.py
+++ b/gateway/programs/status_endpoint.py
@@ -1,4 +1,4 @@
-"""The answers to calls for status and metrics, at both programs."""
+"""Answers calls for status and metrics at both programs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     metrics: Callable[[], list[Metric]],
     quota_report: QuotaReport,
 ) -> bool:
-    """Answer a call for status or metrics, with those of `quota_report`; False if it is another call."""
+    """Answer a call for status or metrics, including those of `quota_report`; False for any other call."""
     path = http_call.path.partition("?")[0]
     if http_call.method != "GET":
         return False
--- a/gateway/programs/status_report.py
+++ b/gateway/programs/status_report.py
@@ -1,4 +1,4 @@
-"""A controller's status of the core (`/-/core`) and of backends (`/-/leases`), as JSON objects."""
+"""A controller's status of the core (`/-/core`) and of backends (`/-/leases`) as JSON objects."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def core(raft: RaftNode, now: float) -> Row:
-    """The members by the newest entry here, as JSON. Only the leader knows when they were last heard."""
+    """The members according to the newest local entry, as JSON. Only the leader knows their last contact."""
     entry = raft.replica.entry
     leader_role = raft.leader_role
     peers = leader_role.peers.values() if leader_role is not None else ()
-    heard = {p.disk: round(now - p.last_contact_at, 3) for p in peers if p.last_contact_at > 0}
+    contact_age_s = {p.disk: round(now - p.last_contact_at, 3) for p in peers if p.last_contact_at > 0}
     return {
         "node": raft.address,
         "role": raft.role,
@@ -31,7 +31,7 @@
                 "address": m.address,
                 "disk": m.disk,
                 "state": _state(m in entry.members, m in entry.outgoing or not entry.outgoing),
-                "heard-s": 0.0 if m.disk == raft.replica.disk else heard.get(m.disk),
+                "heard-s": 0.0 if m.disk == raft.replica.disk else contact_age_s.get(m.disk),
             }
             for m in entry.voters()
         ],
@@ -39,20 +39,20 @@
 
 
 def _further_losses_now(raft: RaftNode, now: float) -> int | None:
-    """How many more disks may be lost right now, as far as the leader knows; None from other members."""
+    """How many more disks may be lost now according to the leader; None at other members."""
     replica = raft.replica
     leader_role = raft.leader_role
     if leader_role is None or replica.committed_entry is None:
         return None
     position = replica.committed_entry.position
-    there = {disk for disk, p in leader_role.member_health(now).items() if p.reachable and not p.leaving}
+    reachable = {disk for disk, p in leader_role.member_health(now).items() if p.reachable and not p.leaving}
     replicas = sum(
-        p.disk in there and p.durable_position is not None and p.durable_position >= position
+        p.disk in reachable and p.durable_position is not None and p.durable_position >= position
         for p in leader_role.peers.values()
     )
-    there.add(replica.disk)
+    reachable.add(replica.disk)
     voter_sets = [
-        quorum.VoterSet(len(voters), sum(m.disk in there for m in voters))
+        quorum.VoterSet(len(voters), sum(m.disk in reachable for m in voters))
         for voters in (replica.entry.members, replica.entry.outgoing)
         if voters
     ]
@@ -65,7 +65,7 @@
 
 
 def leases(membership: ControllerMembership, now: float) -> Row:
-    """All known backends, and the remaining seconds of the leases that this controller has granted."""
+    """All known backends, and the remaining seconds of the leases granted by this controller."""
     own = membership.leases.leases
     return {
         "node": membership.address,
--- a/gateway/runtime/__init__.py
+++ b/gateway/runtime/__init__.py
@@ -1,3 +1,3 @@
-"""I/O for the programs: transport between processes, HTTP listener, disk thread, clock, settings, logs."""
+"""I/O of the programs: transport between processes, HTTP listener, disk thread, clock, settings, logs."""
 
 VERSION = "0.1.0"
--- a/gateway/runtime/address.py
+++ b/gateway/runtime/address.py
@@ -8,10 +8,10 @@
 
 
 def host_port(address: Address) -> tuple[str, int]:
-    """Host and port of an address.
+    """Split an address into host and port.
 
     Raises:
-        ValueError: The address has another form.
+        ValueError: The address is invalid.
     """
     host, _, port = address.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) <= MAX_PORT:
--- a/gateway/runtime/config_events.py
+++ b/gateway/runtime/config_events.py
@@ -1,6 +1,7 @@
-"""Log records on configuration changes: at the leader, and versions that come into force at a node.
+"""Log records of configuration changes at the leader, and of versions that come into force at a node.
 
-A few lines a minute, at level NOTICE, so written at once; `python -m simulation orders` reads them.
+There are a few per minute, at level NOTICE, so they are written immediately; `python -m simulation orders`
+reads them.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 def change_proposed(version: int, generation: int) -> None:
-    """The leader proposes a change to the consensus group; once committed it is this version."""
+    """The leader has proposed a change; once committed it becomes this version."""
     log.log(NOTICE, CHANGE_PROPOSED, extra={"version": version, "generation": generation})
 
 
--- a/gateway/runtime/disk_thread.py
+++ b/gateway/runtime/disk_thread.py
@@ -1,4 +1,4 @@
-"""A thread that saves records, so that a stalled disk blocks nothing else."""
+"""A thread that saves records, so that a stalled disk doesn't block anything else."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from gateway.runtime.clock import steady
 
-MAX_TOKENS = 1024  # superseded writes whose outcome is still reported, at most
-STALL_THRESHOLD_S = 1.0  # a save that takes longer counts as a hanging disk
+MAX_TOKENS = 1024  # maximum number of superseded writes whose result is still reported
+STALL_THRESHOLD_S = 1.0  # a save that takes longer is treated as a stalled disk
 
 log = logging.getLogger("gateway.disk_thread")
 
@@ -20,11 +20,11 @@
 
 
 class DiskThread(Generic[Record]):
-    """One thread that saves one record at a time; `done` and `failed` are called in the event loop.
+    """A thread that saves one record at a time; `done` and `failed` are called in the event loop.
 
-    A newer record replaces one whose save hasn't started: `done` gets the tokens of both, in their order,
-    once the newer one is saved, or `failed` gets them with the reason. `save(record)` runs in the thread and
-    raises on failure.
+    A newer record replaces one whose save hasn't started. Once the newer one is saved, `done` is called with
+    both tokens in order; if it fails, `failed` is called with them and the reason. `save(record)` runs in the
+    thread and raises an exception on failure.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
         self.changed = threading.Condition()
         self.pending_tokens: deque[int] = deque(maxlen=MAX_TOKENS)  # tokens that the next save will complete
         self.record: Record | None = None
-        self.save_started_at: float | None = None  # of the running save, None if none runs
+        self.save_started_at: float | None = None  # of the running save; None if there is none
         self.stopped = False
         self.stalled = False
         self.thread: threading.Thread | None = None
 
     def write(self, token: int, record: Record) -> None:
-        """Queue a record to be saved; returns at once."""
+        """Queue a record to be saved; returns immediately."""
         with self.changed:
             self.pending_tokens.append(token)
             self.record = record
@@ -59,12 +59,12 @@
             self.thread.start()
 
     def stalled_for(self, now: float) -> float:
-        """Seconds since the running save started; 0 if none runs."""
+        """Seconds since the running save started; 0 if there is none."""
         started_at = self.save_started_at
         return 0.0 if started_at is None else max(0.0, now - started_at)
 
     def check_stall(self, now: float) -> None:
-        """Log a warning when the disk starts to hang, and when it no longer does. To be called regularly."""
+        """Log a warning when the disk becomes stalled, and when it recovers. Must be called regularly."""
         stalled_s = self.stalled_for(now)
         is_stalled = stalled_s > STALL_THRESHOLD_S
         if is_stalled == self.stalled:
@@ -76,7 +76,7 @@
             log.warning("disk no longer stalled")
 
     def stop(self, timeout_s: float) -> bool:
-        """Save what is queued and end the thread; whether it has ended within `timeout_s` seconds."""
+        """Save the queued record and end the thread; returns whether it ended within `timeout_s` seconds."""
         with self.changed:
             self.stopped = True
             self.changed.notify()
--- a/gateway/runtime/http_call.py
+++ b/gateway/runtime/http_call.py
@@ -1,4 +1,4 @@
-"""A complete HTTP call, as listeners hand it over and clients send it."""
+"""A complete HTTP call, as it is received by listeners and sent by clients."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 JSON = b"Content-Type: application/json\r\n"
-"""Header line of an answer with a JSON body."""
+"""Header line of a response with a JSON body."""
 
 
 class HttpCall(NamedTuple):
@@ -18,4 +18,4 @@
 
 
 Reply = Callable[[int, bytes, bytes], None]
-"""Answers a call, once: status, header lines, body. Does nothing if the caller has disconnected."""
+"""Answers a call once with status, header lines and body. Does nothing if the caller has disconnected."""
--- a/gateway/runtime/http_listener.py
+++ b/gateway/runtime/http_listener.py
@@ -1,6 +1,6 @@
-"""HTTP server for the system's own interfaces: readiness, status, metrics, and the calls to `control`.
+"""HTTP server for the system's own interfaces: readiness, status, metrics, and calls to `control`.
 
-It reuses the connection handling of `ingress`; a call is handed to one function once it is complete.
+It reuses the connection handling of `ingress`; each complete call is passed to one function.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from ingress.net.request_statistics import RequestStatistics
 
 SWEEP_INTERVAL_S = 0.5
-MAX_BODY_BYTES = 16 * 1024 * 1024  # of one call
-MAX_TOTAL_BODY_BYTES = 64 * 1024 * 1024  # of all calls being received
+MAX_BODY_BYTES = 16 * 1024 * 1024  # maximum per call
+MAX_TOTAL_BODY_BYTES = 64 * 1024 * 1024  # maximum of all calls that are being received
 MAX_CONNECTIONS = 1024
 EMPTY_REQUEST = io.Request("", "", "", 0, 3600.0, 0.0)
 
 
 class HttpCallHandler:
-    """Passes complete calls to a function and its answers to the callers.
+    """Passes complete calls to a function, and its answers to the callers.
 
-    It has the interface that `ClientConnection` needs of a request handler.
+    It implements the request handler interface of `ClientConnection`.
     """
 
     health_path: bytes | None = None
@@ -43,11 +43,11 @@
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]]
     ) -> io.Request | ImmediateResponse:
-        """Accept any request head; method and URL are kept for `take`."""
+        """Accept any request head; method and URL are stored for `take`."""
         return EMPTY_REQUEST._replace(context=(method.decode("latin-1"), url.decode("latin-1")))
 
     def take(self, call: ClientRequest, client: Client) -> None:
-        """Pass on a complete call; it may be answered later."""
+        """Pass on a complete call, which may be answered later."""
         if call.upload is not None:  # its body exceeds the memory for bodies
             client.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"Retry-After: 1\r\n", b"")
             return
@@ -63,25 +63,25 @@
         self.answer(HttpCall(method, path, bytes(call.body)), reply)
 
     def gone(self, call: ClientRequest) -> None:
-        """The caller has disconnected: its answer will be dropped."""
+        """Handle a disconnected caller: its answer will be dropped."""
         self.pending.pop(id(call), None)
 
     def upload_received(self, call: ClientRequest) -> None:
-        """A streamed body has arrived. Nothing to do: such calls were refused by `take`."""
+        """Handle a received streamed body; nothing to do, because `take` has rejected such calls."""
 
     def abort_request(self, call: ClientRequest, status: int) -> None:
-        """The call was cut off or too slow: answer with this status."""
+        """Answer a call that was aborted or too slow with this status."""
         if (caller := self.pending.pop(id(call), None)) is not None:
             caller.reply(status, b"", b"")
 
     def upload_stalled(self, call: ClientRequest) -> None:
-        """A streamed body stalls. Nothing to do: bodies are not forwarded."""
+        """Handle a stalled streamed body; nothing to do, because bodies are not forwarded."""
 
 
 class HttpListener:
     """Accepts connections and reads calls with the same parser and limits as the ingress.
 
-    `answer` gets each complete call and a function to reply with.
+    `answer` receives each complete call and a function to reply with.
     """
 
     draining = False
@@ -113,17 +113,17 @@
         )
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """A connection was accepted; beyond `MAX_CONNECTIONS` it closes after its first answer."""
+        """Handle an accepted connection; beyond `MAX_CONNECTIONS`, it is closed after its first answer."""
         self.connections.add(connection)
         if len(self.connections) > MAX_CONNECTIONS:
             connection.crowded = True
 
     def room(self, more: int) -> bool:
-        """Whether so many more bytes of bodies may be buffered."""
+        """Whether this many more bytes of bodies may be buffered."""
         return self.bodies + more <= MAX_TOTAL_BODY_BYTES
 
     def healthy(self) -> bool:
-        """Part of the connection's interface: this listener has no health of its own."""
+        """Part of the connection interface; this listener has no health of its own."""
         return True
 
     def sweep(self) -> None:
--- a/gateway/runtime/log_ring.py
+++ b/gateway/runtime/log_ring.py
@@ -1,4 +1,4 @@
-"""Log handler with a ring buffer in memory that is written to standard error when an error occurs.
+"""Log handler with a ring buffer in memory, which is written to standard error when an error occurs.
 
 ring = LogRing.install()         # as the only handler of the root logger
 log.info("joined %s", name)      # stays in the ring, unformatted
@@ -14,20 +14,21 @@
 
 from gateway.runtime.clock import steady
 
-MAX_RECORDS = 400  # size of the ring
-DUMP_INTERVAL_S = 5.0  # shortest time between two dumps of the ring
-MAX_LINES_PER_SECOND = 5  # warnings and notices written at once
-NOTICE = 25  # level of rare, normal events that are written at once
+MAX_RECORDS = 400  # number of records in the ring
+DUMP_INTERVAL_S = 5.0  # minimum time between two dumps of the ring
+MAX_LINES_PER_SECOND = 5  # warnings and notices that are written immediately
+NOTICE = 25  # level of rare but normal events that are written immediately
 logging.addLevelName(NOTICE, "NOTICE")
 
 
 class LogRing(logging.Handler):
-    """Keeps the latest records. They are formatted only when written, so their arguments must not change.
+    """Stores the latest records. They are formatted only when written, so their arguments must not change.
 
-    A record of level ERROR or above, or `dump`, writes the whole ring, at most every 5 s; records of the time
-    between stay in it and are written with the next record or `tick` after that. A WARNING or NOTICE is
-    written at once, up to 5 a second; those beyond stay in the ring. No record is written twice. Records of
-    the logger named `immediate_logger` are written at once, whatever their level.
+    A record of level ERROR or above, or a call of `dump`, writes the complete ring, at most every 5 s.
+    Records in between stay in the ring and are written with the next record or `tick` after that time. A
+    WARNING or NOTICE is written immediately, up to 5 per second; the others stay in the ring. No record is
+    written twice. Records of the logger named `immediate_logger` are written immediately, whatever their
+    level.
     """
 
     def __init__(
@@ -50,19 +51,20 @@
 
     @classmethod
     def install(cls, size: int = MAX_RECORDS, immediate_logger: str = "") -> LogRing:
-        """Make a ring the only handler of the root logger, for all records from level INFO on."""
+        """Make a ring the only handler of the root logger, for all records of level INFO and above."""
         ring = cls(size, immediate_logger=immediate_logger)
         root = logging.getLogger()
         logging.logThreads = False
         logging.logProcesses = False
         logging.logMultiprocessing = False
-        logging._srcfile = None  # skips the inspection of the caller's frame, the costliest part
+        # Skips the inspection of the caller's frame, which is the most expensive part.
+        logging._srcfile = None
         root.handlers[:] = [ring]
         root.setLevel(logging.INFO)
         return ring
 
     def handle(self, record: logging.LogRecord) -> bool:
-        """Store or write a record, without the lock of `logging.Handler`: `deque.append` is atomic."""
+        """Store or write a record without the lock of `logging.Handler`, because `deque.append` is atomic."""
         if record.name == self.immediate_logger or (
             NOTICE <= record.levelno <= logging.WARNING and self._line_allowed()
         ):
@@ -84,7 +86,7 @@
         )
 
     def tick(self) -> None:
-        """Write a pending dump if it is due. To be called regularly."""
+        """Write a pending dump if it is due. Must be called regularly."""
         now = self.clock()
         if self.dump_pending and now >= self.next_dump_at:
             self.next_dump_at = now + DUMP_INTERVAL_S
@@ -94,7 +96,7 @@
             self._write_records(records)
 
     def flush(self) -> None:
-        """Write a pending dump at once, before the program exits."""
+        """Write a pending dump immediately, before the program exits."""
         self.next_dump_at = float("-inf")
         self.tick()
 
@@ -111,7 +113,7 @@
             if self.formatter is None:
                 self.formatter = _json_formatter()
             self.write("".join(self._format_line(record) for record in records))
-        except Exception:  # a log must not stop the program
+        except Exception:  # a logging failure must not stop the program
             self.dropped += len(records)
 
     def _format_line(self, record: logging.LogRecord) -> str:
@@ -123,7 +125,8 @@
 
 
 def _json_formatter() -> logging.Formatter:
-    from pythonjsonlogger.json import JsonFormatter  # imported late: slow, and most runs write nothing
+    # Imported late, because it is slow and most processes write nothing.
+    from pythonjsonlogger.json import JsonFormatter
 
     return JsonFormatter(
         "{created}{levelname}{name}{message}",
--- a/gateway/runtime/peer_transport.py
+++ b/gateway/runtime/peer_transport.py
@@ -1,4 +1,4 @@
-"""Messages between our own processes: small ones as datagrams, others over TCP links to the same port.
+"""Messages between our own processes: short ones as datagrams, long ones over TCP links to the same port.
 
     port = PeerTransport(loop, "10.1.0.5:7660", {1: Plane(1, Message, on_message)})
     await port.open()
@@ -23,13 +23,13 @@
 from gateway.state_machine import Address
 
 VERSION = 1
-VERSION_SHIFT = 5  # bits of the first byte below the version,
-PLANE_MASK = (1 << VERSION_SHIFT) - 1  # which are the number of the plane
-MAX_DATAGRAM_BYTES = 1150  # bytes with the first one; longer messages go over TCP
-MAX_READS_PER_WAKEUP = 32  # datagrams read before the event loop goes on
+VERSION_SHIFT = 5  # number of bits below the version in the first byte
+PLANE_MASK = (1 << VERSION_SHIFT) - 1  # these bits contain the number of the plane
+MAX_DATAGRAM_BYTES = 1150  # including the first byte; longer messages use TCP
+MAX_READS_PER_WAKEUP = 32  # datagrams read before other events are handled
 SOCKET_BYTES = 1 << 19  # receive buffer of the UDP socket
-SWEEP_INTERVAL_S = 2.0  # between two checks for idle links
-MAX_CACHED_ADDRESSES = 1024  # addresses whose parsed form is cached
+SWEEP_INTERVAL_S = 2.0  # interval of checks for idle links
+MAX_CACHED_ADDRESSES = 1024  # number of cached parsed addresses
 
 log = logging.getLogger("gateway.peer_transport")
 
@@ -38,17 +38,17 @@
     """The methods of a protobuf message that are used here."""
 
     def SerializeToString(self) -> bytes:  # noqa: N802
-        """The message as bytes."""
+        """Serialize the message."""
 
     def ParseFromString(self, serialized: bytes) -> object:  # noqa: N802
-        """Read the message from bytes."""
+        """Parse the message from bytes."""
 
 
 class Plane(NamedTuple):
-    """A plane on the wire: its number (0 to 31), the class of its messages, and the receiver of those.
+    """A plane: its number (0 to 31), the class of its messages, and the function that receives them.
 
-    `slot` maps a message to a key: of the messages queued for one link, a later one replaces an earlier one
-    of the same slot. None: it is never replaced.
+    `slot` maps a message to a key: a later message in the same slot replaces an earlier one that is still
+    queued for the same link. With None, the message is never replaced.
     """
 
     number: int
@@ -58,7 +58,7 @@
 
 
 class PlaneCounters:
-    """Messages and bytes of one plane, received and sent, since the start."""
+    """Messages and bytes of one plane that were received and sent since the start."""
 
     __slots__ = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
@@ -70,9 +70,9 @@
 
 
 class PeerTransport:
-    """A process's own port, UDP and TCP. `open` raises OSError if it can't be bound; no other method raises.
+    """The UDP and TCP port of a process. Only `open` raises an exception: OSError if the port can't be bound.
 
-    `counts` is by plane; `dropped` counts messages that couldn't be read or sent, by reason.
+    `counts` is indexed by plane; `dropped` counts messages that couldn't be read or sent, by reason.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         self.sweeper: Ticker | None = None
 
     async def open(self) -> None:
-        """Bind the port and receive messages from now on."""
+        """Bind the port and start to receive messages."""
         host, port = host_port(self.address)
         udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -107,7 +107,7 @@
         self.sweeper = Ticker(self.loop, SWEEP_INTERVAL_S, lambda now: self.links.sweep())
 
     def close(self) -> None:
-        """Stop receiving and sending. Messages queued on links are lost."""
+        """Stop receiving and sending. Messages queued for links are lost."""
         if self.socket is not None and self.server is not None and self.sweeper is not None:
             self.loop.remove_reader(self.socket.fileno())
             self.socket.close()
@@ -117,7 +117,7 @@
             self.socket = None
 
     def send(self, to: Address, plane: int, message: Message) -> None:
-        """Send a message to another process's own port, or drop it and count that in `dropped`."""
+        """Send a message to another process, or drop it and count that in `dropped`."""
         count = self.counts.get(plane)
         if count is None:
             count = self.counts[plane] = PlaneCounters()
@@ -134,8 +134,8 @@
                 self._drop("no address")
                 return
         if len(data) > MAX_DATAGRAM_BYTES:
-            known = self.handlers.get(plane)
-            slot = None if known is None else known.slot(message)
+            handler = self.handlers.get(plane)
+            slot = None if handler is None else handler.slot(message)
             self.links.send(to, target, data, None if slot is None else (plane, slot))
             return
         try:
@@ -161,11 +161,11 @@
 
     def _read_datagrams(self) -> None:
         for _ in range(MAX_READS_PER_WAKEUP):
-            if self.socket is None:  # the handler of a message has closed the port
+            if self.socket is None:  # a message handler has closed the port
                 return
             try:
                 data, source = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # nothing left to read, or an ICMP error of an earlier datagram
+            except OSError:  # nothing left to read, or an ICMP error caused by an earlier datagram
                 return
             name = self.sender_names.get(source)
             if name is None:
--- a/gateway/runtime/settings.py
+++ b/gateway/runtime/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process (YAML): its typed form, the table of its fields, and how it is read.
+"""The settings file of a process (YAML): its typed form, the table of its fields, and its reader.
 
 found = settings.read(os.environ)   # Ok(Settings) or Err([Fault, ...])
 """
@@ -23,11 +23,11 @@
 """Offset of a program's own port from the first port of `network.port-range`."""
 
 REQUIRED_LISTENERS = {"proxy": ("front", "ready"), "controller": ("control",)}
-"""Fields of `network.listen` that a program can't run without."""
+"""Fields of `network.listen` that a program needs."""
 
 
 class Limits(NamedTuple):
-    """Resources of the process: shares of a core, megabytes (10**6), file descriptors, megabits a second."""
+    """Resources of the process: cores and shares of one, megabytes (10**6), descriptors, megabits/s."""
 
     cpu_share: float
     cores: float
@@ -38,7 +38,7 @@
 
 
 class NodeSettings(NamedTuple):
-    """The process's own machine and role (`self` in the file). `data_dir` is None without a disk."""
+    """The machine and the role of the process (`self` in the file). `data_dir` is None without a disk."""
 
     node: str
     role: str
@@ -54,7 +54,7 @@
 
 
 class Listen(NamedTuple):
-    """Addresses on which callers from outside are served; None: not served here."""
+    """Addresses that serve callers from outside; None if not served here."""
 
     front: Address | None
     ready: Address | None
@@ -71,13 +71,13 @@
 
 
 class Provider(NamedTuple):
-    """How backends register: with a heartbeat every `beat_s` seconds."""
+    """How backends register: they send a heartbeat every `beat_s` seconds."""
 
     beat_s: float
 
 
 class FaultBudget(NamedTuple):
-    """How many counted machines, or zones, or regions may be lost at once."""
+    """The number of counted machines, or zones, or regions that may be lost at once."""
 
     machines: int
     zones: int
@@ -110,7 +110,7 @@
 
 
 class Terms(NamedTuple):
-    """The parts of the rules in force, the fault budget, and the parameters of the rules."""
+    """The contracts in force, the fault budget, and the parameters of the rules."""
 
     contracts: tuple[str, ...]
     fault_budget: FaultBudget
@@ -126,15 +126,15 @@
     terms: Terms
 
     def own_address(self, program: str) -> Address:
-        """Address of the own port of a program (`proxy` or `controller`) on this machine."""
+        """Address of a program (`proxy` or `controller`) on this machine for messages between processes."""
         return f"{self.own.ip}:{self.network.port_range[0] + PORT_OFFSETS[program]}"
 
     def controller_at(self, control_address: Address) -> Address:
-        """Address of the own port of the controller that serves a `control` address."""
+        """Address for messages between processes of the controller that serves a `control` address."""
         return f"{host_port(control_address)[0]}:{self.network.port_range[0] + PORT_OFFSETS['controller']}"
 
     def missing_listeners(self, program: str) -> list[Fault]:
-        """A fault for each listen address that the program needs and the file doesn't have."""
+        """A fault for each listen address that the program needs but the file doesn't contain."""
         return [
             Fault(f"network.listen.{name}", f"is missing, and the {program} needs it")
             for name in REQUIRED_LISTENERS[program]
@@ -210,7 +210,7 @@
 
 
 def read(environ: Mapping[str, str]) -> SettingsResult:
-    """The settings in the file that the environment names, or all faults in it."""
+    """The settings in the file named by the environment, or all faults in it."""
     path = environ.get(VARIABLE, "")
     return read_file(path) if path else Err([Fault(VARIABLE, "is not set")])
 
@@ -230,7 +230,7 @@
 
 
 def read_document(document: Mapping[str, object]) -> SettingsResult:
-    """The settings in a file's content."""
+    """The settings in the content of a file."""
     found = settings_schema.read_table(document, FIELDS)
     if isinstance(found, Err):
         return found
@@ -248,7 +248,7 @@
 
 
 class FileStat(NamedTuple):
-    """By what a changed file is recognized."""
+    """The attributes by which a changed file is recognized."""
 
     modified_ns: int
     size: int
@@ -256,7 +256,7 @@
 
 
 class SettingsFile:
-    """The file on disk, to be polled: whoever changes it may not send SIGHUP."""
+    """The file on disk. It is polled, because whoever changes it may not send SIGHUP."""
 
     def __init__(self, environ: Mapping[str, str]) -> None:
         self.environ = environ
@@ -269,7 +269,7 @@
         return self.last_stat is not None and self.last_stat != before
 
     def read(self) -> SettingsResult:
-        """Like the function `read`; the present file counts as checked."""
+        """Like the function `read`; the current file then counts as checked."""
         self.last_stat = self._stat()
         return read(self.environ)
 
--- a/gateway/runtime/settings_schema.py
+++ b/gateway/runtime/settings_schema.py
@@ -1,4 +1,4 @@
-"""Schema of a settings file: one `Field` a row with dotted name, type, default and check, and a reader."""
+"""Schema of a settings file: one `Field` per row with dotted name, type, default and check, and a reader."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from gateway.runtime.address import host_port
 
 Converter = Callable[[object], object]
-"""Converts a value as it was parsed from YAML. Raises ValueError with what is needed instead."""
+"""Converts a value parsed from YAML. Raises ValueError with a description of what is expected instead."""
 
 REQUIRED = object()
 """Marks a field without a default."""
 
 
 class Fault(NamedTuple):
-    """What is wrong, and where: the dotted name of a field, or a place in a file."""
+    """A problem, and its place: the dotted name of a field, or a position in a file."""
 
     place: str
     problem: str
@@ -29,7 +29,7 @@
 class Field(NamedTuple):
     """One field, by its dotted name.
 
-    `convert` returns the typed value or raises ValueError; `check` returns what is wrong with it, or "".
+    `convert` returns the typed value or raises ValueError; `check` returns a problem with the value, or "".
     """
 
     name: str
@@ -74,7 +74,7 @@
 
 
 def sequence_of(convert: Converter) -> Callable[[object], tuple[object, ...]]:
-    """Converter of a list of values of one kind into a tuple."""
+    """Create a converter from a list of values of one kind to a tuple."""
 
     def read(value: object) -> tuple[object, ...]:
         if not isinstance(value, list | tuple):
@@ -85,7 +85,7 @@
 
 
 def mapping_of(convert: Converter) -> Callable[[object], dict[str, object]]:
-    """Converter of a mapping from names to values of one kind."""
+    """Create a converter of a mapping from names to values of one kind."""
 
     def read(value: object) -> dict[str, object]:
         if not isinstance(value, dict):
@@ -96,17 +96,17 @@
 
 
 def above_zero(value: float) -> str:
-    """Check that a value is above 0."""
+    """Check that a value is greater than 0."""
     return "" if value > 0 else f"must be over 0, not {value:g}"
 
 
 def not_negative(value: float) -> str:
-    """Check that a value is 0 or more."""
+    """Check that a value is 0 or greater."""
     return "" if value >= 0 else f"must not be negative, as {value:g} is"
 
 
 def read_table(document: object, fields: Iterable[Field]) -> Result[dict[str, object], list[Fault]]:
-    """The values of all fields by dotted name, or all faults. Fields without a row are ignored.
+    """The values of all fields by dotted name, or all faults. Unknown fields are ignored.
 
     An empty string counts as missing.
     """
--- a/gateway/runtime/tcp_links.py
+++ b/gateway/runtime/tcp_links.py
@@ -1,10 +1,10 @@
-"""TCP links that carry the longer messages between our own processes, each link in one direction.
+"""TCP links for long messages between our own processes; each link carries messages in one direction.
 
-A link is opened when there is something to send, and closed by its opener after 10 s without messages, or
-sooner if a link to another process needs its place: the least recently used one that has delivered all its
-messages to the kernel goes first. Its queue is bounded; the oldest message is dropped first. A later message
-of one slot replaces an earlier one that is still queued, so that a slow link delivers the newest state
-instead of all of them. Nothing is retried here: the state machines do that.
+A link is opened when there is a message to send. Its opener closes it after 10 s without messages, or earlier
+if a link to another process is needed: then the least recently used link that has passed all its messages to
+the kernel is closed. The queue of a link is bounded, and the oldest message is dropped first. A later message
+replaces an earlier queued one in the same slot, so that a slow link delivers the newest state instead of all
+states. Nothing is retried here, because the state machines do that.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from gateway.runtime.address import host_port
 from gateway.state_machine import Address
 
-CONNECT_TIMEOUT_S = 1.0  # until a connection is established
-OUTBOUND_IDLE_S = 10.0  # without a message, then the opener closes
-INBOUND_IDLE_S = 30.0  # without a byte, then the accepting side closes
-EVICTABLE_AFTER_S = 1.0  # without a byte, then an accepted link may be closed in favour of a new one
-MAX_QUEUED_BYTES = 4 << 20  # queued for one link; also the limit of one message
+CONNECT_TIMEOUT_S = 1.0  # timeout for a connection attempt
+OUTBOUND_IDLE_S = 10.0  # the opener closes a link after this time without a message
+INBOUND_IDLE_S = 30.0  # the accepting side closes a link after this time without data
+EVICTABLE_AFTER_S = 1.0  # an accepted link without data for this long may be closed in favour of a new one
+MAX_QUEUED_BYTES = 4 << 20  # per link; also the maximum size of a message
 MAX_OUTBOUND_LINKS = 64  # opened by this process
-MAX_INBOUND_LINKS = 256  # opened by others
+MAX_INBOUND_LINKS = 256  # opened by other processes
 MAX_ADDRESS_BYTES = 64
-LENGTH_BYTES = 4  # before each message, big endian
+LENGTH_BYTES = 4  # length prefix of each message, big endian
 OPTIONS = (
     (socket.IPPROTO_TCP, "TCP_NODELAY", 1),
     (socket.IPPROTO_TCP, "TCP_USER_TIMEOUT", 1500),  # ms
@@ -39,14 +39,14 @@
 
 
 class QueuedMessage(NamedTuple):
-    """A message that waits for its link; a later one of the same slot (None: none) replaces it."""
+    """A message that is queued for its link; a later one in the same slot (None: no slot) replaces it."""
 
     slot: Hashable
     data: bytes
 
 
 class OutboundLink(asyncio.Protocol):
-    """A link to another process. Messages are queued until it is connected and while its buffer is full."""
+    """A link to another process. Messages are queued until it is connected, and while its buffer is full."""
 
     def __init__(self, links: TcpLinks, to: Address) -> None:
         self.links = links
@@ -58,7 +58,7 @@
         self.last_used_at = links.loop.time()
 
     def send(self, data: bytes, slot: Hashable = None) -> None:
-        """Write a message, or queue it until the link can take it."""
+        """Write a message, or queue it until the link can accept it."""
         self.last_used_at = self.links.loop.time()
         if not self.paused and self.transport is not None:
             self.transport.write(_frame(data))
@@ -74,7 +74,7 @@
             self.links.on_drop("link is full")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connected: send the own address first, then the queue."""
+        """Send the own address and then the queue over the new connection."""
         # uvloop's transports don't derive from asyncio.Transport
         self.transport = cast(asyncio.Transport, transport)
         set_options(transport)
@@ -82,11 +82,11 @@
         self.resume_writing()
 
     def pause_writing(self) -> None:
-        """The transport's buffer is full: queue from now on."""
+        """Queue further messages, because the transport's buffer is full."""
         self.paused = True
 
     def resume_writing(self) -> None:
-        """The buffer has room again: write the queue."""
+        """Write the queue, because the transport's buffer has space again."""
         self.paused = False
         while self.queue and not self.paused and self.transport is not None:
             queued = self.queue.popleft()
@@ -95,11 +95,11 @@
 
     @property
     def has_delivered(self) -> bool:
-        """Whether every message was handed to the kernel."""
+        """Whether all messages were passed to the kernel."""
         return self.transport is not None and not self.queue and not self.transport.get_write_buffer_size()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended."""
+        """Remove the link after the end of its connection."""
         self.links.forget(self)
 
     def close(self) -> None:
@@ -109,9 +109,10 @@
 
 
 class InboundLink(asyncio.Protocol):
-    """A link that another process has opened. Invalid framing closes it.
+    """A link that was opened by another process. Invalid framing closes it.
 
-    `on_message` gets the sender's address and each message, `on_drop` the reason of each dropped one.
+    `on_message` receives the sender's address and each message, `on_drop` the reason for each dropped
+    message.
     """
 
     def __init__(
@@ -129,7 +130,7 @@
         self.last_used_at = links.loop.time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A connection was accepted. Beyond `MAX_INBOUND_LINKS` an idle link is closed, else this one."""
+        """Handle an accepted connection. At the limit, an idle link is closed, or else this one."""
         self.transport = cast(asyncio.Transport, transport)
         set_options(transport)
         if not self.links.make_inbound_room():
@@ -138,7 +139,7 @@
         self.links.inbound.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Split what was received into frames and pass them on."""
+        """Split received data into frames and pass them on."""
         self.last_used_at = self.links.loop.time()
         self.buffer += data
         start = 0
@@ -173,7 +174,7 @@
         self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended."""
+        """Remove the link after the end of its connection."""
         self.transport = None
         self.links.inbound.discard(self)
 
@@ -185,7 +186,7 @@
 
 
 class TcpLinks:
-    """All links of one process, by the address of the other side."""
+    """All links of one process, by the address of the other process."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, address: Address, on_drop: Callable[[str], None]
@@ -198,7 +199,7 @@
         self.opening: set[asyncio.Task[None]] = set()
 
     def send(self, to: Address, target: tuple[str, int], data: bytes, slot: Hashable = None) -> None:
-        """Send over the link to a process, opening it if needed. `slot` None: never replaced in the queue."""
+        """Send a message over the link to a process, opening it if necessary; see `QueuedMessage`."""
         if len(data) > MAX_QUEUED_BYTES:
             self.on_drop("too long")
             return
@@ -245,7 +246,7 @@
             link.close()
 
     def forget(self, link: OutboundLink) -> None:
-        """A link has ended: its queue is dropped, and the next message opens another link."""
+        """Remove a link and drop its queue; the next message opens another link."""
         if self.outbound.get(link.to) is link:
             del self.outbound[link.to]
         for _ in link.queue:
@@ -274,7 +275,7 @@
 
 
 def set_options(transport: asyncio.BaseTransport) -> None:
-    """Set options by which a dead peer is detected within seconds; unsupported ones are skipped."""
+    """Set socket options that detect a dead peer within seconds; unsupported ones are skipped."""
     sock = transport.get_extra_info("socket")
     for level, name, value in OPTIONS:
         if sock is not None and hasattr(socket, name):
--- a/gateway/runtime/ticker.py
+++ b/gateway/runtime/ticker.py
@@ -1,4 +1,4 @@
-"""Periodic calls in the event loop that go on if one of them fails."""
+"""Periodic calls in the event loop that continue even if a call fails."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Ticker:
-    """Calls `call(now)` every `period_s` seconds, the first time after `first_after_s` (else `period_s`).
+    """Calls `call(now)` every `period_s` seconds, first after `first_after_s` seconds (default: `period_s`).
 
-    `now` is `clock.steady()`. An exception in a call is logged as an error, and later calls are still made.
-    Several calls that came due while the loop was blocked are made as one.
+    `now` is `clock.steady()`. An exception in a call is logged as an error and doesn't prevent later calls.
+    Calls that became due while the loop was blocked are combined into one.
     """
 
     __slots__ = ("call", "due_at", "handle", "loop", "period_s")
@@ -42,7 +42,7 @@
             log.exception("periodic call failed (period %s s)", self.period_s)
 
     def stop(self) -> None:
-        """Make no more calls."""
+        """Stop the calls."""
         if self.handle is not None:
             self.handle.cancel()
             self.handle = None
