--- a/gateway/proxy/ingress.py
+++ b/gateway/proxy/ingress.py
@@ -210,7 +210,7 @@
         If part of the response has been forwarded, wait until the deadline. Otherwise wait only if the
         request can't be moved to another backend.
         """
-        if pending.flowing:
+        if pending.streaming_since:
             return self.loop.time() < pending.deadline < math.inf
         return not self.may_move(self.now(), pending.call.request.id)
 
--- a/gateway/runtime/http_listener.py
+++ b/gateway/runtime/http_listener.py
@@ -91,7 +91,7 @@
         self.call_handler = HttpCallHandler(loop, answer)
         self.connections: set[ClientConnection] = set()
         self.order: Iterator[int] = itertools.count()
-        self.bodies = 0
+        self.body_bytes = 0
         self.limits = Limits(body=MAX_BODY_BYTES, slow=5.0, idle=30.0, hold=MAX_BODY_BYTES)
         self.listener: asyncio.Server | None = None
         self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
@@ -120,7 +120,7 @@
 
     def room(self, more: int) -> bool:
         """Whether this many more bytes of bodies may be buffered."""
-        return self.bodies + more <= MAX_TOTAL_BODY_BYTES
+        return self.body_bytes + more <= MAX_TOTAL_BODY_BYTES
 
     def healthy(self) -> bool:
         """Part of the connection interface; this listener has no health of its own."""
--- a/ingress/__main__.py
+++ b/ingress/__main__.py
@@ -33,9 +33,9 @@
 
 log = logging.getLogger("ingress")
 
-STATE_CHECK_INTERVAL_S = 0.25  # interval of checks for state shared by another process of this ingress
-BODY_MEMORY_DIVISOR = 8  # larger bodies may together take this fraction (1/8) of the memory
-RESERVED_DESCRIPTORS = 64  # file descriptors kept for other uses than client and backend connections
+STATE_CHECK_INTERVAL_S = 0.25  # how often state that another process of this ingress wrote is checked for
+BODY_MEMORY_DIVISOR = 8  # larger bodies may together take 1/8 of the memory
+RESERVED_DESCRIPTORS = 64  # file descriptors not used for client and backend connections
 
 
 @dataclass(frozen=True, slots=True)
@@ -186,7 +186,7 @@
 def handle_signals(
     loop: asyncio.AbstractEventLoop, config: Config, ingress: Ingress, discovery: Discovery
 ) -> asyncio.Event:
-    """An event that SIGTERM or SIGINT sets; SIGHUP rereads the addresses of discovery and the counter."""
+    """Return an event that SIGTERM or SIGINT sets; SIGHUP rereads the discovery and counter addresses."""
 
     def reload() -> None:
         """Read the file again and move to its discovery and counter addresses; all else needs a restart."""
@@ -238,7 +238,7 @@
     log.info("%s serves on %s:%d", config.name, *config.listen)
     for plan in config.settings.plans:
         log.info("%s", plan)
-    gc.freeze()  # objects made at start-up live as long as the process
+    gc.freeze()  # objects created at start-up live as long as the process
     await stop.wait()
     log.info("%s stops: %d requests pending", config.name, len(ingress.pending))
     await server.leave()
@@ -253,7 +253,7 @@
 
 
 def main() -> int:
-    """Run the ingress; returns the exit code. A failure to start is reported in one plain line."""
+    """Run the ingress and return the exit code. A failure to start is reported in one line."""
     logging.basicConfig(
         level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(name)s %(levelname)s %(message)s"
     )
--- a/ingress/net/client.py
+++ b/ingress/net/client.py
@@ -1,4 +1,4 @@
-"""The reading side of a client's connection: HTTP/1.1 requests, which are answered in order, and /healthz."""
+"""The reading side of a client connection: HTTP/1.1 requests, which are answered in order, and /healthz."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from ingress.net.response_queue import ResponseQueue
 from ingress.net.upload import Upload
 
-PIPELINE = 16  # requests read ahead on one connection
-SLOW_RATE = 32 * 1024  # bytes a second: the least rate at which a request body has to arrive
-LAG_S = 1.5  # longest wait for more of a body, however much of it has arrived
-LINGER_BYTES = 256 * 1024  # that are read and discarded while a client reads the last response
-ABSOLUTE = re.compile(rb"(?i:https?)://[^/?#]*")  # of an absolute-form target, the part before the path
+MAX_PIPELINED = 16  # largest number of requests read ahead on one connection
+MIN_BODY_RATE = 32 * 1024  # bytes per second at which a request body has to arrive at least
+MAX_BODY_SILENCE_S = 1.5  # longest wait for the next part of a body, however much has arrived
+LINGER_BYTES = 256 * 1024  # bytes that are read and discarded while a client reads the last response
+ABSOLUTE_FORM_ORIGIN = re.compile(rb"(?i:https?)://[^/?#]*")  # scheme and authority of a target
 DROPPED_REQUEST_HEADERS = HOP_BY_HOP | {b"expect", b"content-length"}  # not passed on to backends
 
 HEAD_TOO_LONG = "the head is too long"
 
 
 class ClientConnection(ResponseQueue):
-    """One client's connection: reads its requests; the base classes answer them in order."""
+    """A client connection. It reads the requests; the base classes write the responses in order."""
 
     def __init__(self, server: ConnectionServer) -> None:
         super().__init__(server)
         self.parser = httptools.HttpRequestParser(self)
-        self.upload_call: ClientRequest | None = None  # the one whose body is being streamed in
-        self.reserved = 0  # bytes of the shared buffer for the body that is being received
-        self.reading_suspended_at = 0.0  # when reading of its body was suspended; 0: it is being read
+        self.upload_call: ClientRequest | None = None  # the request whose body is being streamed
+        self.reserved = 0  # bytes reserved in the shared buffer for the body being received
+        self.reading_suspended_at = 0.0  # when reading of the body was suspended; 0 while it is read
         self.paused = False
         self.crowded = False
-        self.heard = next(server.order)
+        self.last_read_order = next(server.order)
         self.used = False  # a request has been received
-        self.due = 0.0  # loop time by which more of the present request has to arrive
-        self.began = 0.0  # when the request that is being received began; 0 between requests
+        self.due = 0.0  # loop time by which more of the current request has to arrive
+        self.began = 0.0  # when the request being received began; 0 between requests
         self.reset()
 
     def reset(self) -> None:
@@ -49,25 +49,25 @@
         self.size = 0
         self.in_head = True
         self.fresh = True
-        self.length: int | None = None  # of the body, by Content-Length
-        self.got = 0  # bytes of it received
+        self.length: int | None = None  # Content-Length of the body
+        self.got = 0  # bytes of the body received
 
-    # Callbacks of the transport.
+    # Transport callbacks.
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection is closed: release its share of the buffer."""
-        self.server.bodies -= self.reserved
+        self.server.body_bytes -= self.reserved
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
         """Parse the bytes received; malformed HTTP is answered with an error."""
-        if self.discarding_input:  # the rest of a request that was rejected unread
+        if self.discarding_input:  # the rest of a request that was rejected before it was read
             self.size += len(data)
             if self.size > LINGER_BYTES and self.transport is not None and not self.paused:
                 self.paused = True
                 self.transport.pause_reading()
             return
-        self.heard = next(self.server.order)
+        self.last_read_order = next(self.server.order)
         if not self.began:
             self.begin_request()
         try:
@@ -91,49 +91,49 @@
         self.due = self.began + self.server.limits.slow
 
     def fault(self, status: int, why: str) -> None:
-        """Answer a request that can't be read further with an error, after those before it, and close."""
+        """Answer a request that can't be read further with an error, after all earlier ones, and close."""
         self.discarding_input = True
         self.size = 0
         self.body = bytearray()
-        self.server.bodies = self.server.bodies - self.reserved
+        self.server.body_bytes = self.server.body_bytes - self.reserved
         self.reserved = 0
         call = self.upload_call
         self.upload_call = None
         if call is None:
             self.server.request_handler.statistics.counts[f"turned away {status}"] += 1
             self.enqueue(ImmediateResponse(status, why, bodiless=self.is_head()), keep=False)
-        elif call is self.call:  # it is being handled already
+        elif call is self.call:  # the request is already being handled
             self.server.request_handler.abort_request(call, status)
         elif any(call is item for item, _ in self.waiting):
             self.waiting.pop()
             self.enqueue(ImmediateResponse(status, why), keep=False)
-        else:  # it has been answered already
+        else:  # the request has already been answered
             self.close()
 
     def is_head(self) -> bool:
         """Whether the request being received is known to be a HEAD, whose response has no body."""
         return bool(self.url) and self.parser.get_method() == b"HEAD"
 
-    # Callbacks of the parser.
+    # Parser callbacks.
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Start a new request."""
         self.reset()
         self.begin_request()
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request target. Raises MalformedRequestError if it is too long."""
+        """Add a part of the request target. Raises MalformedRequestError if the target is too long."""
         self.url += url
         if len(self.url) > self.server.limits.head:
             raise MalformedRequestError(HEAD_TOO_LONG, HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header field."""
+        """Add a header field."""
         if self.in_head:  # not a trailer field after a chunked body
             self.headers.append((name, value.strip(BLANKS)))  # the parser leaves trailing blanks
 
     def on_headers_complete(self) -> None:
-        """Reject what can be rejected by the head (with MalformedRequestError) before any body is received.
+        """Reject an invalid head (with MalformedRequestError) before any of the body is received.
 
         The parser itself rejects both framings at once, two lengths, and lengths that aren't plain numbers.
         """
@@ -159,12 +159,12 @@
             self.may_stream()
 
     def expects(self) -> bool:
-        """Whether to send 100 Continue: if it is expected and no earlier request is unanswered."""
+        """Whether to send 100 Continue: the client expects it, and no earlier request is unanswered."""
         is_expected = any(n.lower() == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
         return is_expected and self.call is None and not self.waiting
 
     def may_stream(self) -> None:
-        """Stream a body that is too large to be buffered: the request is handled before it is complete."""
+        """Stream a body that is too large to be buffered. The request is handled before it is complete."""
         item = self.read()
         if isinstance(item, ImmediateResponse):
             raise MalformedRequestError(item.why, item.status)
@@ -178,21 +178,21 @@
             self.body = bytearray()
 
     def may_buffer(self, size: int) -> bool:
-        """Whether a body of `size` bytes may be buffered; above that, all bodies share one limit."""
+        """Whether a body of `size` bytes may be buffered; all larger bodies share one limit."""
         if size <= max(MAX_BUFFERED_BODY, self.reserved):
             return True
         more = size - self.reserved
         if size > self.server.limits.hold or not self.server.room(more):
             return False
-        self.server.bodies += more
+        self.server.body_bytes += more
         self.reserved = size
         return True
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body. Raises MalformedRequestError if it is too large."""
+        """Add a part of the body. Raises MalformedRequestError if the body is too large."""
         self.got += len(data)
-        ahead = min(self.loop.time() + LAG_S, self.due + len(data) / SLOW_RATE)
-        self.due = max(self.due, ahead)  # data received fast doesn't allow a long silence
+        ahead = min(self.loop.time() + MAX_BODY_SILENCE_S, self.due + len(data) / MIN_BODY_RATE)
+        self.due = max(self.due, ahead)  # fast data doesn't extend the time limit beyond MAX_BODY_SILENCE_S
         if self.got > self.server.limits.body:
             raise MalformedRequestError(
                 f"a body holds at most {self.server.limits.body} bytes", HTTPStatus.REQUEST_ENTITY_TOO_LARGE
@@ -205,7 +205,7 @@
             self.body += data
 
     def on_message_complete(self) -> None:
-        """The request has been received completely: queue it to be handled."""
+        """Queue the request, which has been received completely."""
         self.began = 0.0
         self.in_head = True
         self.used = True
@@ -215,7 +215,7 @@
             self.hold(False)
             self.server.request_handler.upload_received(call)
             call.upload.finish()
-            if call.upload.unwanted:  # it has been answered already
+            if call.upload.unwanted:  # the request has already been answered
                 self.close()
             return
         item = self.read()
@@ -227,7 +227,7 @@
             self.enqueue(item, self.parser.should_keep_alive() and not self.crowded)
 
     def hold(self, on: bool) -> None:
-        """Suspend reading (`on`), as the body's next hop is behind or not known yet, or resume it."""
+        """Suspend reading (`on`) while the backend is slow or not chosen yet, or resume it."""
         if on and not self.reading_suspended_at:
             self.reading_suspended_at = self.loop.time()
         elif not on and self.reading_suspended_at:
@@ -237,7 +237,7 @@
 
     def regulate(self) -> None:
         """Pause or resume reading, by the number of requests read ahead and the state of the upload."""
-        want = self.discarding_input or not (self.reading_suspended_at or len(self.waiting) > PIPELINE)
+        want = self.discarding_input or not (self.reading_suspended_at or len(self.waiting) > MAX_PIPELINED)
         if self.transport is None or self.closing or want is not self.paused:
             return
         self.paused = not want
@@ -247,8 +247,8 @@
             self.transport.pause_reading()
 
     def read(self) -> ClientRequest | ImmediateResponse:
-        """The request received, or the immediate response to one that isn't to be handled."""
-        url = ABSOLUTE.sub(b"", self.url, 1) if self.url[:1] != b"/" else self.url
+        """Return the received request, or the immediate response to a request that isn't to be handled."""
+        url = ABSOLUTE_FORM_ORIGIN.sub(b"", self.url, 1) if self.url[:1] != b"/" else self.url
         request_handler = self.server.request_handler
         if url.partition(b"?")[0] == request_handler.health_path:
             return ImmediateResponse(200 if self.server.healthy() else 503, "")
@@ -281,8 +281,8 @@
     # Closing and time limits.
 
     def close(self) -> None:
-        """Close, unless the rest of a body has to be read first so that the client reads its response."""
-        if any(item is self.upload_call for item, _ in self.waiting):  # it is after the last response
+        """Close, unless the rest of a body must be read first so that the client can read its response."""
+        if any(item is self.upload_call for item, _ in self.waiting):  # its response is the last one
             self.upload_call = None
             self.reading_suspended_at = 0.0
             self.discarding_input = True
@@ -292,18 +292,18 @@
             super().close()
 
     def idle(self) -> bool:
-        """Whether it is between requests with nothing unread: closing it can at most cross a new request."""
+        """Whether the connection is between requests and has no unread bytes, so that it can be closed."""
         if self.call is not None or self.waiting or self.began or self.closing or self.transport is None:
             return False
         return not self.unread()
 
     def sweep(self, now: float) -> None:
-        """Enforce the time limits: for a first byte, a request's rest, the next one, a slow reader."""
+        """Enforce the time limits for a first byte, a request's rest, the next request and slow readers."""
         if self.closing or self.transport is None:
             return
         if self.paused and self.hung_up():  # a close isn't noticed while reading is paused
             self.transport.abort()
-        elif self.full_since:
+        elif self.unread_since:
             if not self.reads(now):
                 self.cut()
         elif self.began:
@@ -314,7 +314,7 @@
                 self.close()
 
     def close_when_idle(self, now: float) -> None:
-        """Enforce the time limits of a request being received: of its head, and of its body by rate."""
+        """Enforce the time limit of a request head, or the least rate of a request body."""
         if self.reading_suspended_at:
             if now - self.reading_suspended_at > FLOW_STALL_S and self.upload_call is not None:
                 self.server.request_handler.upload_stalled(self.upload_call)
--- a/ingress/net/connection_interfaces.py
+++ b/ingress/net/connection_interfaces.py
@@ -1,4 +1,4 @@
-"""The interfaces through which a client's connection uses its server and the request handler."""
+"""The interfaces through which a client connection uses its server and the request handler."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class ImmediateResponse(NamedTuple):
-    """A response that needs no decision. `why` is its body; `lines` are header lines."""
+    """A response that needs no decision. `why` is the body; `lines` are header lines."""
 
     status: int
     why: str
-    close: bool = False  # the connection is closed after it
+    close: bool = False  # whether the connection is closed after the response
     lines: bytes = b""
-    bodiless: bool = False  # it answers a HEAD
+    bodiless: bool = False  # whether the response answers a HEAD
 
 
 class Limits(NamedTuple):
-    """Limits for clients: of sizes in bytes, and of times in seconds."""
+    """Limits for clients: sizes in bytes, times in seconds."""
 
     head: int = MAX_HEAD
     body: int = MAX_BODY
-    slow: float = 2.5  # for a first byte, for a head, and for a client to read its responses
-    idle: float = 5.0  # between requests
-    hold: int = 1024 * 1024  # largest body that is buffered if there is room
+    slow: float = 2.5  # to send a first byte, to send a head, and to read responses
+    idle: float = 5.0  # longest time between requests
+    hold: int = 1024 * 1024  # largest body that is buffered if the shared buffer has room
 
 
 USUAL = Limits()
 
 
 class RequestHandler(Protocol):
-    """Handles the requests that connections receive."""
+    """Handles the requests that connections have received."""
 
     statistics: RequestStatistics
     health_path: bytes | None
@@ -45,43 +45,43 @@
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]]
     ) -> io.Request | ImmediateResponse:
-        """The request for the decisions, or the immediate response if it can't be one."""
+        """Return the request for the decision module, or the immediate response to an invalid one."""
 
     def take(self, call: ClientRequest, client: Client) -> None:
-        """Handle a request; its one final response goes to `client`."""
+        """Handle a request. `client` receives its one final response."""
 
     def gone(self, call: ClientRequest) -> None:
-        """The client has disconnected before its response was complete."""
+        """Cancel a request whose client has disconnected before the response was complete."""
 
     def upload_received(self, call: ClientRequest) -> None:
-        """The streamed body of a request has been received completely."""
+        """Record that the streamed body of a request has been received completely."""
 
     def abort_request(self, call: ClientRequest, status: int) -> None:
-        """The rest of a streamed body will not arrive or can't be read; answer with this status."""
+        """Answer with this status: the rest of a streamed body will not arrive or can't be read."""
 
     def upload_stalled(self, call: ClientRequest) -> None:
-        """The backend has accepted nothing of a streamed body for too long."""
+        """Time an attempt out: the backend has accepted nothing of a streamed body for too long."""
 
 
 class ConnectionServer(Protocol):
-    """The server that accepted a connection. `bodies` is the size in bytes of all larger buffered bodies."""
+    """The server that accepted a connection. `body_bytes` is the total size of all larger buffered bodies."""
 
     loop: asyncio.AbstractEventLoop
     connections: set[Any]
     order: Iterator[int]
-    bodies: int
+    body_bytes: int
     draining: bool
     limits: Limits
 
     @property
     def request_handler(self) -> RequestHandler:
-        """What handles the requests."""
+        """The handler of the requests."""
 
     def connection_opened(self, connection: Any) -> None:  # noqa: ANN401  its class imports this module
         """Register a new connection."""
 
     def room(self, more: int) -> bool:
-        """Whether so many more bytes of bodies may be buffered."""
+        """Whether `more` bytes of bodies may be buffered in addition."""
 
     def healthy(self) -> bool:
         """Whether a health check succeeds."""
--- a/ingress/net/console.py
+++ b/ingress/net/console.py
@@ -1,4 +1,4 @@
-"""The operator console: a TCP service that runs one command line per connection."""
+"""The operator console: a TCP service that executes one command line per connection."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 log = logging.getLogger(__name__)
 
 MAX_LINE = 256  # bytes
-MAX_CONNECTIONS = 16  # connections at once; one more replaces the oldest one
-IDLE_S = 2.5  # until a complete line has to arrive
-LINGER_S = 0.5  # for the other side to read the answer and close
+MAX_CONNECTIONS = 16  # open at the same time; a further connection replaces the oldest one
+IDLE_S = 2.5  # time in which a complete line has to arrive
+LINGER_S = 0.5  # time that the other side gets to read the answer and close
 
 
 class ConsoleCommand(NamedTuple):
-    """A command: `act` takes this number of string arguments and returns the answer's lines."""
+    """A command. `act` takes this number of string arguments and returns the lines of the answer."""
 
     act: Callable[..., list[str]]
     arguments: int = 0
 
 
 class ConsoleConnection(asyncio.Protocol):
-    """One operator's connection, with one command and one answer."""
+    """An operator's connection, with one command and one answer."""
 
     def __init__(self, console: Console) -> None:
         self.console = console
@@ -35,7 +35,7 @@
         self.timer = console.loop.call_later(IDLE_S, self.answer, ["error no call came in time"])
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open: register it with the console."""
+        """Register the new connection with the console."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's isn't a subclass
         self.console.connection_opened(self)
 
@@ -51,7 +51,7 @@
             self.answer(self.console.execute(bytes(line)))
 
     def eof_received(self) -> bool:
-        """The other side has ended its sending: a line without its end isn't executed.
+        """Handle the end of the input. A line without its newline isn't executed.
 
         It may be truncated and then name another command or backend.
         """
@@ -59,29 +59,29 @@
         return True
 
     def answer(self, lines: list[str]) -> None:
-        """Send the one answer, and close the connection after it."""
+        """Send the answer, and close the connection after it."""
         if self.answered or self.transport is None:
             return
         self.answered = True
         self.transport.write("".join(f"{line}\n" for line in lines).encode())
-        self.transport.write_eof()  # a full close with bytes unread would destroy the answer
+        self.transport.write_eof()  # closing with unread bytes would discard the answer
         self.timer.cancel()
         self.timer = self.console.loop.call_later(LINGER_S, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed."""
+        """Remove the closed connection."""
         self.answered = True
         self.timer.cancel()
         self.console.callers.pop(self, None)
 
 
 class Console:
-    """The console's listener; `calls` are the commands by name."""
+    """The listener of the console; `calls` are the commands by name."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, calls: Mapping[str, ConsoleCommand]) -> None:
         self.loop = loop
         self.calls = calls
-        self.callers: dict[ConsoleConnection, None] = {}  # in the order of their arrival
+        self.callers: dict[ConsoleConnection, None] = {}  # oldest first
         self.listener: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
@@ -98,7 +98,7 @@
                 oldest.transport.abort()
 
     def execute(self, line: bytes) -> list[str]:
-        """Execute a line; returns the answer's lines, of which one with `error` reports any failure."""
+        """Execute a line and return the answer's lines; a failure is one line that starts with `error`."""
         try:
             arguments_given = line.decode("ascii").split()
         except UnicodeDecodeError:
@@ -115,7 +115,7 @@
             return call.act(*arguments_given[1:])
         except CommandRejectedError as error:
             return [f"error {error}"]
-        except Exception:  # a command must not end the program
+        except Exception:  # a failing command must not end the process
             log.exception("console: %r", line)
             return ["error a fault in the program"]
 
--- a/ingress/net/counter.py
+++ b/ingress/net/counter.py
@@ -1,4 +1,4 @@
-"""The client of the counter service: pipelined add calls, each with exactly one reply in time."""
+"""The client of the counter service: pipelined add calls, each with exactly one reply before it expires."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 log = logging.getLogger(__name__)
 
-LINES = 4  # connections: a bad or stuck response delays the calls of one; the counter accepts 32
-STUCK_S = 1.0  # without any response to unanswered calls, after which a connection is replaced
-STALL_S = 0.05  # of silence in the middle of a response, likewise
-RETIRE_S = 1.5  # for outstanding responses on a connection that has been replaced
-RETRY_S = 0.1  # before connecting again
+CONNECTION_COUNT = 4  # so that a bad or stuck response delays few calls; the counter accepts 32
+STUCK_S = 1.0  # a connection is replaced after this time without any response to its calls
+STALL_S = 0.05  # a connection is replaced if a response stalls midway for this time
+RETIRE_S = 1.5  # time for outstanding responses on a replaced connection
+RETRY_S = 0.1  # wait before connecting again
 CONNECT_S = 0.5
-TOTAL = re.compile(rb"-?\d+(\.\d+)?([eE][+-]?\d{1,2})?")  # not nan or inf; below 0 occurs after settling
+TOTAL = re.compile(rb"-?\d+(\.\d+)?([eE][+-]?\d{1,2})?")  # finite; given back charges may make it negative
 
 
 class Add:
-    """One add call, with the loop time by which it needs a reply."""
+    """An add call, with the loop time by which it needs a reply."""
 
     __slots__ = ("began", "due", "name", "reply", "text")
 
@@ -39,23 +39,23 @@
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection to the counter. Responses arrive in the order of the calls."""
+    """A connection to the counter. Responses arrive in the order of the calls."""
 
     def __init__(self, line: ReconnectingCounterLink) -> None:
         self.line = line
         self.loop = line.counter.loop
         self.transport: asyncio.Transport | None = None
         self.reader = ResponseReader()
-        # Written; kept past their time, so that late responses are matched to their calls.
+        # Calls that were written. Expired calls are kept, so that late responses match their calls.
         self.awaiting_reply: deque[Add] = deque()
-        self.heard = 0.0
+        self.last_active_at = 0.0
         self.served = False
         self.retired = False
         self.closed = False
         self.stall: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Take over the new connection."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's isn't a subclass
         self.line.connection_ready(self)
 
@@ -63,15 +63,15 @@
         """Send a call."""
         assert self.transport is not None
         if not self.awaiting_reply:
-            self.heard = self.loop.time()
+            self.last_active_at = self.loop.time()
         self.awaiting_reply.append(add)
         self.transport.write(add.text)
 
     def data_received(self, data: bytes) -> None:
-        """Parse responses; a malformed one, or one that stalls midway, ends the connection."""
+        """Parse responses. A response that is malformed or stalls midway ends the connection."""
         if self.closed:
             return
-        self.heard = self.loop.time()
+        self.last_active_at = self.loop.time()
         if self.stall is not None:
             self.stall.cancel()
         for answer in self.reader.feed(data):
@@ -106,7 +106,7 @@
             self.end("done")
 
     def retire(self) -> None:
-        """Another connection has taken over; outstanding responses may still arrive here for `RETIRE_S`."""
+        """Retire the connection: another one has taken over, and late responses may arrive for `RETIRE_S`."""
         self.retired = True
         if self.awaiting_reply:
             self.loop.call_later(RETIRE_S, self.end, "retired")
@@ -118,7 +118,7 @@
         self.end("closed")
 
     def end(self, why: str, corrupt: bool = False) -> None:
-        """End the connection: no more responses are possible here.
+        """End the connection, on which no further responses are possible.
 
         Calls that were written may have been added; after a `corrupt` response, the first of them has been
         answered.
@@ -141,7 +141,7 @@
 
 
 class ReconnectingCounterLink:
-    """Keeps one connection to the counter's present address; calls wait for it if there is none."""
+    """Keeps one connection to the counter's current address; calls wait while there is none."""
 
     def __init__(self, counter: Counter) -> None:
         self.counter = counter
@@ -154,7 +154,7 @@
         self.task = self.loop.create_task(self.run())
 
     async def run(self) -> None:
-        """Connect, and again whenever the connection is lost or the counter's address changes."""
+        """Connect, and reconnect whenever the connection is lost or the counter's address changes."""
         while True:
             address = self.counter.address
             link = CounterConnection(self)
@@ -165,22 +165,22 @@
                     await self.loop.create_connection(self.factory(link), *address)
             except (OSError, TimeoutError) as error:
                 log.debug("counter: connect: %r", error)
-            except Exception:  # whatever it was, calls must not wait forever for a connection
+            except Exception:  # after any error the link must go on connecting, or calls would wait forever
                 log.exception("counter")
             else:
                 await self.wanted.wait()
-                # One that was useful, or was merely closed as idle, is replaced at once.
+                # A connection that was used, or was only closed as idle, is replaced at once.
                 if link.served or self.loop.time() - began > STUCK_S or self.counter.address != address:
                     continue
             await asyncio.sleep(RETRY_S)
 
     @staticmethod
     def factory(link: CounterConnection) -> Callable[[], CounterConnection]:
-        """The protocol factory that returns this connection."""
+        """Return this connection; used as the protocol factory."""
         return lambda: link
 
     def connection_ready(self, link: CounterConnection) -> None:
-        """A connection is open: it takes over, and waiting calls are sent on it."""
+        """Switch to a connection that is open, and send the waiting calls on it."""
         old = self.link
         self.link = link
         waiting = [a for a in self.unsent if a.reply is None]
@@ -191,13 +191,13 @@
             old.retire()
 
     def lost(self, link: CounterConnection) -> None:
-        """A connection has ended: replace it if it is the present one."""
+        """Replace a connection that has ended, if it is the current one."""
         if self.link is link:
             self.link = None
             self.wanted.set()
 
     def call(self, add: Add) -> None:
-        """Send a call, or let it wait for the connection until it expires."""
+        """Send a call, or let it wait for a connection until it expires."""
         self.unresolved.append(add)
         if self.link is None:
             self.unsent.append(add)
@@ -225,7 +225,7 @@
         unsent = {a for a in late if a in self.unsent}
         for add in unsent:
             self.unsent.remove(add)
-        if link is not None and link.awaiting_reply and now - link.heard > STUCK_S:
+        if link is not None and link.awaiting_reply and now - link.last_active_at > STUCK_S:
             link.end("stuck")
         elif link is not None and late and self.overtaken(link):
             link.end("overtaken")
@@ -234,15 +234,15 @@
         self.schedule_expiry()
 
     def overtaken(self, link: CounterConnection) -> bool:
-        """Whether only this connection is stuck: a later call has been answered on another one."""
+        """Whether only this connection is stuck: another one has answered a later call."""
         return (
             bool(link.awaiting_reply)
-            and link.heard < self.loop.time() - self.counter.timeout
+            and link.last_active_at < self.loop.time() - self.counter.timeout
             and (self.counter.newest > link.awaiting_reply[0].began)
         )
 
     def close(self) -> None:
-        """End the connection, at the end of the program."""
+        """End the connection, when the process shuts down."""
         self.task.cancel()
         if self.link is not None:
             self.link.end("the program ends")
@@ -267,12 +267,12 @@
         self.timeout = timeout
         self.on_reply = on_reply
         self.statistics = statistics
-        self.newest = 0.0  # when the latest of the answered calls began
-        self.calls: dict[int, deque[Add]] = {}  # by name, until all before them have been replied to
-        self.lines = [ReconnectingCounterLink(self) for _ in range(LINES)]
+        self.newest = 0.0  # when the latest answered call began
+        self.calls: dict[int, deque[Add]] = {}  # by counter name, until all calls before them have replies
+        self.lines = [ReconnectingCounterLink(self) for _ in range(CONNECTION_COUNT)]
 
     def move(self, address: Address) -> None:
-        """The counter's address has changed; old connections are used until the new ones are open."""
+        """Change the counter's address; old connections are used until the new ones are open."""
         if address != self.address:
             self.address = address
             for line in self.lines:
@@ -288,10 +288,10 @@
         ).encode()
         add = Add(name, text, now, now + self.timeout)
         self.calls.setdefault(name, deque()).append(add)
-        self.lines[name % LINES].call(add)
+        self.lines[name % CONNECTION_COUNT].call(add)
 
     def tell(self, add: Add, outcome: io.Outcome, total: float = 0.0) -> None:
-        """Report the outcome of a call; only the first report counts.
+        """Report the outcome of a call; only the first report has an effect.
 
         Replies for one name are passed on in the order of the calls, even if an old connection and a new one
         carry them at once: that is how the decisions know which call is meant.
--- a/ingress/net/discovery.py
+++ b/ingress/net/discovery.py
@@ -1,4 +1,4 @@
-"""The client of the discovery service: it watches the list of backends continuously."""
+"""The client of the discovery service, which watches the list of backends continuously."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_TIMEOUT_S = 3.2  # an empty line comes every 2 s; a change counts as announced 6 s later even if unheard
-RETRY_S = 0.4  # longest wait after a first failure, doubled with each further one
-RETRY_EACH_S = 0.05  # that wait is at least this for each ingress: all of them lose discovery at once
-RETRY_MOST_S = 6.0  # longest wait: by then a change counts as announced even if unheard
+IDLE_TIMEOUT_S = 3.2  # an empty line arrives every 2 s; a change has to be known within 6 s
+RETRY_S = 0.4  # longest wait after the first failure; doubled with each further one
+RETRY_DELAY_PER_INGRESS_S = 0.05  # the longest wait is at least this much per ingress
+MAX_RETRY_DELAY_S = 6.0  # a change has to be known within 6 s
 CONNECT_S = 1.0
 MAX_LINE = 8 * 1024 * 1024  # bytes
 PHASES = {"SERVING": io.Phase.RUNNING, "DRAINING": io.Phase.STOPPING, "DELETED": io.Phase.DELETED}
 
 
 class Listing(NamedTuple):
-    """The list of backends of a version (`is_full`), or changes to it.
+    """The list of backends of a version (`is_full`), or the changes to it.
 
     The endpoint of a deleted backend is None.
     """
@@ -40,7 +40,7 @@
 
 
 def read_listing(message: dict[str, Any]) -> Listing:
-    """Read a decoded message of the discovery service.
+    """Parse a decoded message of the discovery service.
 
     Raises:
         ValueError: It isn't a list of backends.
@@ -66,7 +66,7 @@
     if status not in PHASES:
         raise ValueError(f"status: {status!r}")
     phase = PHASES[status]
-    # A deleted one needs no address any more.
+    # A deleted backend has no address.
     endpoint = None if phase is io.Phase.DELETED else Endpoint(read_address(fields["address"]), born)
     return io.BackendEntry(
         name,
@@ -80,7 +80,7 @@
 
 
 class DiscoveryWatch(asyncio.Protocol):
-    """One connection: first the whole list if no version is known, then the changes as JSON lines.
+    """A connection: first the whole list if no version is known, then the changes as JSON lines.
 
     `on_text` handles a message, and returns the version reached or raises ValueError. `ended` gets the reason
     of the end.
@@ -95,11 +95,11 @@
         self.transport: asyncio.Transport | None = None
         self.rest = bytearray()
         self.accepted = False
-        self.heard = self.loop.time()
+        self.last_received_at = self.loop.time()
         self.ended: asyncio.Future[str] = self.loop.create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open: send the first request."""
+        """Send the first request on the new connection."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's isn't a subclass
         self.send_request()
 
@@ -115,20 +115,20 @@
         """Parse the response; malformed HTTP ends the watch."""
         if self.ended.done():
             return
-        self.heard = self.loop.time()
+        self.last_received_at = self.loop.time()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             self.end(str(error.__context__ or error))
 
     def on_headers_complete(self) -> None:
-        """The head of the response: any status but 200 ends the watch."""
+        """Check the head of the response: any status but 200 ends the watch."""
         self.accepted = self.parser.get_status_code() == HTTPStatus.OK
         if not self.accepted:
             self.end(f"status {self.parser.get_status_code()}")
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body: handle each complete line of a stream of changes."""
+        """Handle each complete line of a stream of changes."""
         self.rest += data
         if self.index is not None:
             *lines, rest = self.rest.split(b"\n")
@@ -139,15 +139,15 @@
             self.end("a line without end")
 
     def take(self, text: bytes) -> None:
-        """Handle one message; a malformed one ends the watch."""
+        """Handle a message; a malformed one ends the watch."""
         if text.strip() and not self.ended.done():
             try:
                 self.index = self.on_text(text)
-            except ValueError as error:  # the list is kept; what follows it is requested again
+            except ValueError as error:  # the list is kept, and later changes are requested again
                 self.end(f"a garbled line: {error}")
 
     def on_message_complete(self) -> None:
-        """The response is complete: after the whole list, request the changes."""
+        """Request the changes, once the response with the whole list is complete."""
         if self.index is not None:
             self.end("the watch ended")
             return
@@ -160,11 +160,11 @@
             self.send_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed."""
+        """End the watch, as its connection is closed."""
         self.end(f"the connection ended: {exc}" if exc else "the connection ended")
 
     def end(self, why: str) -> None:
-        """End the watch for this reason; only the first one counts."""
+        """End the watch for this reason; only the first call has an effect."""
         if not self.ended.done():
             self.ended.set_result(why)
 
@@ -175,17 +175,17 @@
     def __init__(self, instances: int, rng: random.Random) -> None:
         self.rng = rng
         self.failures = 0
-        self.first = max(RETRY_S, RETRY_EACH_S * instances)
+        self.first = max(RETRY_S, RETRY_DELAY_PER_INGRESS_S * instances)
 
     def next(self) -> float:
-        """The wait in seconds after one more failure."""
-        window = min(RETRY_MOST_S, self.first * 2.0 ** min(self.failures, 10))
+        """Return the wait in seconds after one more failure."""
+        window = min(MAX_RETRY_DELAY_S, self.first * 2.0 ** min(self.failures, 10))
         self.failures += 1
         return self.rng.uniform(0.0, window)
 
 
 class DiscoverySource:
-    """Keeps a watch on one address, from the last version that was accepted (`index`; None: none yet)."""
+    """Keeps a watch on one address, from the last accepted version on (`index`; None: none yet)."""
 
     def __init__(
         self,
@@ -203,20 +203,20 @@
         self.task = loop.create_task(self.run())
 
     async def run(self) -> None:
-        """Watch, and whenever the watch ends or falls silent, begin a new one after the backoff."""
+        """Watch. Whenever the watch ends or receives nothing, begin a new one after the backoff."""
         while True:
             try:
                 why = await self.follow(DiscoveryWatch(self.text, self.address, self.index))
             except (OSError, TimeoutError) as error:
                 why = f"connect: {error!r}"
-            except Exception:  # whatever it was, the list must not stay as it is forever
+            except Exception:  # after any error the watch must go on, or the list would never change
                 log.exception("discovery")
                 why = "a fault"
             log.info("discovery: %s", why)
             await asyncio.sleep(self.backoff.next())
 
     async def follow(self, watch: DiscoveryWatch) -> str:
-        """Run a watch until it ends; returns the reason.
+        """Run a watch until it ends, and return the reason.
 
         Raises:
             OSError: The service can't be reached.
@@ -225,7 +225,7 @@
         async with asyncio.timeout(CONNECT_S):
             transport, _ = await self.loop.create_connection(lambda: watch, *self.address)
         try:
-            while (left := watch.heard + IDLE_TIMEOUT_S - self.loop.time()) > 0:
+            while (left := watch.last_received_at + IDLE_TIMEOUT_S - self.loop.time()) > 0:
                 done, _ = await asyncio.wait([watch.ended], timeout=left)
                 if done:
                     return watch.ended.result()
@@ -237,15 +237,15 @@
             transport.abort()
 
     def text(self, text: bytes) -> int:
-        """Handle a message; returns its version. Raises ValueError if it is malformed."""
+        """Handle a message and return its version. Raises ValueError if it is malformed."""
         listing = read_listing(json.loads(text))
         self.on_listing(self, listing)
-        self.index = listing.version  # only now: what couldn't be handled is requested again
+        self.index = listing.version  # set only now: a message that couldn't be handled is requested again
         return listing.version
 
 
 class Discovery:
-    """Passes on the listings of the present source.
+    """Passes on the listings of the current source.
 
     A new source knows nothing of the old one's state, and its versions needn't continue the old ones: it is
     asked for the whole list, and takes over with that. Until then the old source is used.
@@ -267,13 +267,13 @@
         self.source = self.newest = self.connect_to_source(address, index)
 
     def connect_to_source(self, address: Address, index: int | None) -> DiscoverySource:
-        """Begin to watch an address, from this version on or (None) with the whole list."""
+        """Begin to watch an address, from this version on, or (None) with the whole list."""
         return DiscoverySource(
             self.loop, address, index, self.apply_backend_list, Backoff(self.instances, self.rng)
         )
 
     def move(self, address: Address) -> None:
-        """The discovery service's address has changed."""
+        """Change the discovery service's address."""
         if address == self.newest.address:
             return
         if self.newest is not self.source:
@@ -281,7 +281,7 @@
         self.newest = self.connect_to_source(address, None)
 
     def apply_backend_list(self, source: DiscoverySource, listing: Listing) -> None:
-        """Pass on a source's listing; with its first one, a new source takes over."""
+        """Pass on a source's listing. A new source takes over with its first listing."""
         if source is self.newest:
             if source is not self.source:
                 self.source.task.cancel()
--- a/ingress/net/errors.py
+++ b/ingress/net/errors.py
@@ -6,7 +6,7 @@
 
 
 class MalformedRequestError(ValueError):
-    """A client's request violates the protocol; `status` is the one to answer with."""
+    """A client's request violates the protocol; `status` is the response's status."""
 
     def __init__(self, reason: str, status: int = HTTPStatus.BAD_REQUEST) -> None:
         super().__init__(reason)
@@ -14,8 +14,8 @@
 
 
 class MalformedResponseError(Exception):
-    """What was received isn't a valid HTTP response, or is too large."""
+    """The received bytes aren't a valid HTTP response, or the response is too large."""
 
 
 class CommandRejectedError(Exception):
-    """Raised by a console command to be answered with `error` and this message."""
+    """Raised by a console command; the answer is `error` and this message."""
--- a/ingress/net/exchange.py
+++ b/ingress/net/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt at a backend: the request, and its exactly one outcome."""
+"""An attempt at a backend: one request, with exactly one outcome."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Endpoint(NamedTuple):
-    """The address of a backend, and when its process started (Unix time in seconds; 0: unknown)."""
+    """The address of a backend, and the start time of its process (Unix time in seconds; 0: unknown)."""
 
     address: Address
     born: float
@@ -26,13 +26,13 @@
     """The receiver of a streamed response."""
 
     def written(self, exchange: Exchange) -> None:
-        """A streamed request body has been written completely."""
+        """Handle that a streamed request body has been written completely."""
 
     def begin(self, exchange: Exchange, head: Response) -> None:
-        """The head of a streamed response has been received."""
+        """Handle the head of a streamed response."""
 
     def part(self, data: bytes) -> None:
-        """A part of its body has been received."""
+        """Handle a part of the body of a streamed response."""
 
 
 class UpstreamConnection(Protocol):
@@ -42,14 +42,14 @@
         """Stop reading the response."""
 
     def resume(self) -> None:
-        """Continue reading it."""
+        """Continue reading the response."""
 
     def drop(self) -> None:
         """Close the connection at once."""
 
 
 def outcome_of(answer: Response) -> io.Outcome:
-    """The outcome of an attempt by its response; only a complete 200 is a success."""
+    """Return the outcome of an attempt by its response; only a complete 200 is a success."""
     if answer.status == HTTPStatus.OK:
         return io.Outcome.OK
     if answer.status in REFUSED_STATUS and answer.headers.get(b"x-rejected") == b"1":
@@ -58,11 +58,11 @@
 
 
 class Exchange:
-    """One request to a backend and its one outcome, reported through `on_end`.
+    """A request to a backend and its one outcome, which is reported through `on_end`.
 
     `may_send` is called again once a connection is open, right before the first byte: the backend may have
     begun to drain, or the client may have disconnected, while it was being opened. `judge` gives the outcome
-    of a response, or None if that belongs to another request.
+    of a response, or None for a response to another request.
     """
 
     def __init__(
@@ -85,21 +85,19 @@
         self.sink = sink
         self.upload = upload
         self.judge = judge
-        # the latter: response header with the request's id, if any
         self.ends = ends
-        self.label = label
+        self.label = label  # response header with the request's id; empty if there is none
         self.connection: UpstreamConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.waits: Callable[[], bool] = lambda: False  # whether to wait for a response that stalls
-        self.streams = streams  # backends may begin to execute a request before it is complete
-        # its first byte has been written; and its last one
-        self.begun = False
-        self.written = False
+        self.should_wait: Callable[[], bool] = lambda: False  # whether to wait for a stalled response
+        self.streams = streams  # whether backends may begin to execute an incomplete request
+        self.begun = False  # whether the first byte has been written
+        self.written = False  # whether the last byte has been written
         self.ended = False
-        self.heard = 0  # the pool's count of reads at the start
+        self.reads_at_start = 0  # the pool's number of reads when the exchange began
 
     def end(self, outcome: io.Outcome, answer: Response | None = None) -> None:
-        """Report the outcome; only the first call counts."""
+        """Report the outcome; only the first call has an effect."""
         if self.ended:
             return
         self.ended = True
@@ -109,11 +107,11 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether so much has been written that the backend may have executed the request."""
+        """Whether the backend may have executed the request, by what has been written."""
         return self.written or (self.streams and self.begun)
 
     def named(self, answer: Response) -> bool:
-        """Whether a response has its request's id, so that a late duplicate of it is recognized as one."""
+        """Whether a response has the id of its request, by which a late duplicate is recognized."""
         return not self.label or self.label in answer.headers
 
     def end_upload(self) -> None:
@@ -122,13 +120,13 @@
             self.upload.writer = None
 
     def begin(self, sink: ResponseSink, head: Response) -> None:
-        """A streamed response has begun: from here on the exchange has no time limit."""
+        """Begin a streamed response. From here on the exchange has no time limit."""
         if self.timer is not None:
             self.timer.cancel()
         sink.begin(self, head)
 
     def pause(self) -> None:
-        """Stop reading the response, as its receiver is behind."""
+        """Stop reading the response while its receiver is slow."""
         if self.connection is not None:
             self.connection.pause()
 
@@ -138,7 +136,7 @@
             self.connection.resume()
 
     def give_up(self, outcome: io.Outcome) -> None:
-        """Stop waiting. The connection is closed first, so that a retry isn't a second copy."""
+        """Stop waiting. The connection is closed first, so that a retry isn't a duplicate."""
         if self.ended:
             return
         if self.connection is not None:
--- a/ingress/net/http_messages.py
+++ b/ingress/net/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP types that several sides of the ingress share: addresses, client requests, backends' responses."""
+"""HTTP types that the ingress shares: addresses, client requests and backend responses."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from ingress.net.errors import MalformedResponseError
 from ingress.net.upload import Upload
 
-MAX_BUFFERED_BODY = 64 * 1024  # bytes of a body that is buffered; a larger one is streamed
+MAX_BUFFERED_BODY = 64 * 1024  # bytes; a larger body is streamed
 MAX_BODY = 40 * 1024 * 1024  # bytes
 MAX_HEAD = 16 * 1024  # bytes
 BLANKS = b" \t"  # optional whitespace around a header's value
 FRAMING = (b"content-length", b"transfer-encoding")
-SINGLE = (*FRAMING, b"attempt-id", b"backend-seal")  # response headers that may occur only once
-HOP_BY_HOP = frozenset(  # headers that concern one connection only (RFC 9110, 7.6.1)
+UNIQUE_HEADERS = (*FRAMING, b"attempt-id", b"backend-seal")  # response headers that may occur once
+HOP_BY_HOP = frozenset(  # headers that apply to one connection only (RFC 9110, 7.6.1)
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade")
 )
-EMPTY = (204, 304)  # statuses of responses without a body, whatever their headers say
+BODILESS_STATUSES = (204, 304)  # responses with these statuses have no body, whatever their headers say
 
 MAX_PORT = 65535
 
@@ -45,7 +45,7 @@
 
 
 def unsent(transport: asyncio.Transport) -> int:
-    """Bytes that the other side hasn't acknowledged, buffered here and in the kernel; 0 if it is closed."""
+    """Return the number of unacknowledged bytes, buffered here and in the kernel; 0 if it is closed."""
     queued = bytearray(4)
     try:
         fcntl.ioctl(transport.get_extra_info("socket").fileno(), termios.TIOCOUTQ, queued)
@@ -56,29 +56,29 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A valid client request; complete, unless its body is streamed."""
+    """A valid client request, which is complete unless its body is streamed."""
 
     request: io.Request
-    start: bytes  # request line, and the headers that are passed on unchanged
+    start: bytes  # request line, and the headers passed on unchanged
     body: bytes | bytearray
-    came: float  # loop time of its last byte
+    received_at: float  # loop time of the last byte
     chunks: bool = True  # whether the client supports chunked encoding
-    reserved: int = 0  # bytes of the body that count against the limit for all bodies
-    upload: Upload | None = None  # a streamed body; `body` is empty then
-    bodiless: bool = False  # its response has no body: it is a HEAD
+    reserved: int = 0  # bytes reserved in the buffer that all bodies share
+    upload: Upload | None = None  # the streamed body, if any; `body` is then empty
+    bodiless: bool = False  # whether the response has no body (HEAD)
 
     @property
     def unfinished(self) -> bool:
-        """Whether a part of its body hasn't been received yet."""
+        """Whether part of the body hasn't been received yet."""
         return self.upload is not None and not self.upload.complete
 
     def drop_rest(self) -> None:
-        """Discard the rest of its body: it is still read, so that the client reads the response."""
+        """Discard the rest of the body. It is still read, so that the client reads the response."""
         if self.upload is not None and not self.upload.complete:
             self.upload.drop()
 
     def message(self, lines: bytes) -> bytes:
-        """The request as sent to a backend, with further header lines."""
+        """Return the request as sent to a backend, with further header lines."""
         length = len(self.body) if self.upload is None else self.upload.length
         framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
         return b"%s%s%s\r\n\r\n%s" % (self.start, lines, framing, self.body)
@@ -90,14 +90,14 @@
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    keep: bool  # the connection may carry another request
+    keep: bool  # whether the connection may carry another request
     length: int | None = None  # Content-Length of a streamed response, or of one without a body
 
 
 class ResponseEnd(NamedTuple):
-    """How a response ends, as far as its head doesn't say so."""
+    """How a response ends, where its head doesn't say so."""
 
-    bodiless: bool = False  # it ends with its head, as the response to a HEAD
+    bodiless: bool = False  # whether it ends with its head, as the response to a HEAD does
     # Without a length it ends with the connection, even if it has no Connection: close.
     read_until_close: bool = False
 
@@ -118,24 +118,23 @@
         self.body = bytearray()
         self.answers: list[Response] = []
         self.broken = ""
-        self.partial = False  # a response has begun and isn't complete
-        # over: it has ended with its head
+        self.partial = False  # whether a response has begun and isn't complete
         self.in_head = False
         self.until_end = False
         self.done = False
-        self.over = False
-        self.head: Response | None = None  # of the streamed response
-        self.size = 0  # bytes of its body so far
-        self.fed = 0  # bytes since the last ones of a body
+        self.over = False  # whether the response has ended with its head
+        self.head: Response | None = None  # head of the streamed response
+        self.size = 0  # bytes of the body received so far
+        self.fed = 0  # bytes received since the last bytes of a body
 
     def expect(self, ends: ResponseEnd) -> None:
-        """A request is sent: the next response is the one to it, which ends as given."""
+        """Expect the response to a request that is sent now. The response ends as given."""
         self.ends = ends
         self.head = None
         self.done = False
 
     def feed(self, data: bytes) -> list[Response]:
-        """Parse bytes; returns the responses that they complete."""
+        """Parse bytes and return the responses that they complete."""
         if not self.broken:
             self.fed += len(data)
             try:
@@ -153,21 +152,21 @@
         return answers
 
     def end(self) -> list[Response]:
-        """The other side has ended its sending, which completes a response whose head allows that."""
+        """Handle the end of the input, which completes a response whose head allows that."""
         if self.partial and self.until_end and not self.broken:
             self.on_message_complete()
         answers, self.answers = self.answers, []
         return answers
 
     def take(self) -> bytes:
-        """The part of the streamed body that was received since the last call."""
+        """Return the part of the streamed body received since the last call."""
         part = bytes(self.body)
         self.body.clear()
         return part
 
     def on_message_begin(self) -> None:
-        """Parser callback: a response begins. Raises MalformedResponseError after a streamed one."""
-        if self.done:  # its last part hasn't been taken yet
+        """Parser callback at the start of a response. Raises MalformedResponseError after a streamed one."""
+        if self.done:  # the last part hasn't been taken yet
             raise MalformedResponseError("more behind a large answer")
         self.headers = {}
         self.body = bytearray()
@@ -180,16 +179,16 @@
         self.size = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback: a header field. Raises MalformedResponseError for a forbidden repetition."""
+        """Parser callback for a header field. Raises MalformedResponseError for a forbidden repetition."""
         key = name.lower()
         if not self.in_head:  # a trailer
             return
-        if key in SINGLE and key in self.headers:
+        if key in UNIQUE_HEADERS and key in self.headers:
             raise MalformedResponseError(f"{key.decode()}: more than one")
         self.headers[key] = value.strip(BLANKS)
 
     def on_headers_complete(self) -> None:
-        """Parser callback: the head is complete.
+        """Parser callback at the end of the head.
 
         Raises:
             MalformedResponseError: The head leaves the response's length open, so that a part of it could be
@@ -206,7 +205,7 @@
             self.partial = False
             self.deliver(b"", int(length) if length is not None else None)
             return
-        if status in EMPTY:
+        if status in BODILESS_STATUSES:
             return
         closes = self.ends.read_until_close or self.headers.get(b"connection", b"").lower() == b"close"
         self.until_end = self.streams_body and closes and length is None and coding is None
@@ -230,9 +229,9 @@
         self.head = Response(status, self.headers, b"", keep, length)
 
     def on_body(self, data: bytes) -> None:
-        """Parser callback: a part of the body. Raises MalformedResponseError if it is too large."""
+        """Parser callback for a part of the body. Raises MalformedResponseError if it is too large."""
         self.fed = 0
-        if self.over:  # what follows it isn't a response
+        if self.over:  # bytes after a response without a body aren't a response
             self.partial = True
             return
         self.size += len(data)
@@ -243,7 +242,7 @@
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Parser callback: the response is complete."""
+        """Parser callback at the end of a response."""
         if self.over:
             return
         self.partial = False
--- a/ingress/net/ingress.py
+++ b/ingress/net/ingress.py
@@ -1,4 +1,4 @@
-"""The driver of the decision module: it submits network events to it, and carries out its actions."""
+"""The driver of the decision module. It submits network events and carries out the returned actions."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 class Decisions(Protocol):
-    """The decision module, as the ingress uses it."""
+    """The interface of the decision module."""
 
     def handle(self, now: float, event: io.Event) -> list[io.Action]:
-        """Handle an event; returns the actions to carry out."""
+        """Handle an event and return the actions to carry out."""
 
     def members(self, now: float) -> tuple[int, int]:
-        """The number of known backends, and how many of them are avoided."""
+        """Return the number of known backends, and how many of them are avoided."""
 
 
 class Ingress(UpstreamAttempts):
-    """One ingress: events are submitted to the decisions one at a time, in the order of their occurrence."""
+    """An ingress. It submits events to the decision module one at a time, in the order of occurrence."""
 
     def __init__(
         self,
@@ -49,12 +49,11 @@
         self.serving: set[str] = set()
         self.cordon_entries: Mapping[
             str, io.CordonEntry
-        ] = {}  # backends that operators have cordoned, or have just uncordoned
+        ] = {}  # backends that operators have cordoned, or uncordoned recently
         self.state = state or State(None)
-        self.unavailable_by_cordon = False  # whether the last cordon command was valid
-        # number of sibling processes, and of their client connections
-        self.beside = 0
-        self.sibling_clients = 0
+        self.unavailable_by_cordon = False  # whether the last cordon command failed
+        self.sibling_count = 0
+        self.sibling_clients = 0  # client connections of the sibling processes
         self.events: deque[io.Event] = deque()
         self.busy = False
         self.clock = 0.0
@@ -62,12 +61,12 @@
     # Events.
 
     def now(self) -> float:
-        """Unix time in seconds, common to all ingresses so that their windows agree; it never goes back."""
+        """Unix time in seconds, which never goes back. All ingresses use it, so that their windows agree."""
         self.clock = max(self.clock, time.time())
         return self.clock
 
     def submit(self, event: io.Event) -> None:
-        """Submit an event to the decisions. One that occurs while another is handled is queued."""
+        """Submit an event to the decision module. It is queued while another event is handled."""
         self.events.append(event)
         if self.busy:
             return
@@ -79,7 +78,7 @@
             self.busy = False
 
     def decide(self, event: io.Event) -> None:
-        """Handle an event. An exception ends the request that it concerns (with 500), not the program."""
+        """Handle an event. An exception ends the request concerned (with 500), not the process."""
         try:
             for action in self.gateway.handle(self.now(), event):
                 self.carry_out(action)
@@ -89,10 +88,11 @@
             pending = self.pending.get(name) if isinstance(name, str) else None
             if pending is not None:
                 self.answer(pending, 500)
-                self.events.append(io.ClientGone(pending.call.request.id))  # the decisions may still hold it
+                # The decision module may still track the request.
+                self.events.append(io.ClientGone(pending.call.request.id))
 
     def carry_out(self, action: io.Action) -> None:
-        """Carry out one action of the decisions."""
+        """Carry out an action of the decision module."""
         match action:
             case io.Attempt():
                 self.attempt(action)
@@ -110,7 +110,7 @@
                 self._carry_out_maintenance(action)
 
     def _carry_out_maintenance(self, action: io.Action) -> None:
-        """Carry out an action that concerns no single request.
+        """Carry out an action that doesn't belong to a single request.
 
         `Subscribe` and `FetchList` need nothing, as the watch is always on; nor does `UnknownBackend`.
         """
@@ -129,7 +129,7 @@
                 self.unavailable_by_cordon = True
 
     def _cancel_attempt(self, action: io.CancelAttempt) -> None:
-        """Cancel an attempt, if it is still the latest one of its request."""
+        """Cancel an attempt, if it is the latest one of its request."""
         pending = self.pending.get(action.request)
         if pending is None or pending.exchange is None:
             return
@@ -137,7 +137,7 @@
             self.upstream.cancel(pending.exchange)
 
     def _call_counter(self, action: io.CounterAdd) -> None:
-        """Call the shared counter; without one, the call has failed."""
+        """Call the shared counter. Without a counter, the call fails."""
         if self.counter is not None:
             self.counter.add(action.name, action.amount, action.lifetime)
         else:
@@ -146,7 +146,7 @@
     # Console commands.
 
     def figures(self) -> list[str]:
-        """Totals since the start and current values, one `name=value` line each."""
+        """Return totals since the start and current values, one `name=value` line each."""
         members, unavailable = self.gateway.members(self.now())
         figures = {
             f"{ending}.{name}": 0 for ending in ("completed", "rejected", "failed") for name in self.effects
@@ -161,7 +161,7 @@
         return [f"{name}={value}" for name, value in figures.items()]
 
     def cordon(self, backend: str, on: bool) -> bool:
-        """Cordon a backend (`on`) or uncordon it; False if there is none of that name."""
+        """Cordon a backend (`on`) or uncordon it; False if the backend is unknown."""
 
         def order() -> Mapping[str, io.CordonEntry] | None:
             self.unavailable_by_cordon = False
@@ -171,11 +171,11 @@
         return self.state.change(self.restore, order)
 
     def restore(self, cordon_entries: Mapping[str, io.CordonEntry]) -> None:
-        """Replace the cordons by these."""
+        """Replace all cordons by these."""
         self.submit(io.Cordons(cordon_entries))
 
     def follow(self, clients: int = 0) -> None:
-        """Adopt the cordons that a sibling process has written, and divide the connection limits with it.
+        """Adopt the cordons that a sibling process has written, and share the connection limits with it.
 
         `clients` is the number of this process's client connections.
         """
@@ -184,10 +184,10 @@
         self.state.publish(clients, len(self.upstream.connections))
         siblings = self.state.siblings()
         self.sibling_clients = sum(n for n, _ in siblings)
-        self.upstream.beside = sum(n for _, n in siblings)
-        if len(siblings) != self.beside:
-            self.beside = len(siblings)
-            self.submit(io.SiblingProcesses(self.beside))
+        self.upstream.sibling_connections = sum(n for _, n in siblings)
+        if len(siblings) != self.sibling_count:
+            self.sibling_count = len(siblings)
+            self.submit(io.SiblingProcesses(self.sibling_count))
 
     def open_to(self, backend: str) -> bool:
         """Whether new requests may be sent to a backend."""
--- a/ingress/net/peers.py
+++ b/ingress/net/peers.py
@@ -16,7 +16,7 @@
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Sends messages to one ingress or to all, and passes received ones on with their sender's number.
+    """Sends messages to one or all ingresses, and passes received messages on with the sender's number.
 
     `peers` are the addresses of all ingresses by number, of which this is `me`; `everyone` is an address that
     reaches all of them, if there is one.
@@ -37,17 +37,17 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Keep the transport of the open socket."""
         self.transport = cast(asyncio.DatagramTransport, transport)  # uvloop's isn't a subclass
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Pass on a message; one that is too long or not from another ingress is ignored."""
+        """Pass on a message. A message that is too long or not from another ingress is ignored."""
         sender = self.numbers.get((addr[0], addr[1]))
         if sender is not None and sender != self.me and len(data) <= MAX_MESSAGE:
             self.on_message(io.PeerMessage(sender, data))
 
     def error_received(self, exc: Exception) -> None:
-        """Log an error of an earlier send."""
+        """Log the error of an earlier send."""
         log.debug("peers: %s", exc)
 
     def tell(self, peer: int | None, payload: bytes) -> None:
@@ -62,7 +62,7 @@
                 self.transport.sendto(payload, address)
 
     def addresses(self, peer: int | None) -> list[Address]:
-        """The addresses to send to for this ingress, or (None) for all."""
+        """Return the addresses of this ingress, or (None) of all."""
         if peer is not None:
             return [self.peers[peer]]
         if self.everyone is not None:
--- a/ingress/net/pending_request.py
+++ b/ingress/net/pending_request.py
@@ -12,22 +12,22 @@
 
 
 class Client(Protocol):
-    """The receiver of the one final response to a request: complete, or as a stream."""
+    """The receiver of the one final response to a request, which is complete or streamed."""
 
     def reply(self, status: int, lines: bytes, body: bytes) -> None:
         """Send a complete response with these header lines."""
 
     def begin(self, lines: bytes, length: int | None, source: Exchange) -> None:
-        """Send the head of a streamed response, of this Content-Length if it is known."""
+        """Send the head of a streamed response, with this Content-Length if it is known."""
 
     def part(self, data: bytes) -> None:
-        """Send a part of its body."""
+        """Send a part of the streamed body."""
 
     def finish(self) -> None:
-        """The streamed response is complete."""
+        """End the streamed response, which is complete."""
 
     def break_off(self) -> None:
-        """The rest of the streamed response is lost: abort it visibly."""
+        """Abort the streamed response visibly, as its rest is lost."""
 
 
 class PendingRequest:
@@ -42,9 +42,9 @@
         "deadline",
         "ended",
         "exchange",
-        "flowing",
         "last",
         "may_have_run",
+        "streaming_since",
         "timer",
     )
 
@@ -57,30 +57,30 @@
         self.exchange: Exchange | None = None
         self.answered = False
         self.may_have_run = False
-        self.flowing = 0.0  # since when its response is being streamed; 0: it isn't
-        self.ended = False  # and counted in the statistics
-        self.last: Response | None = None  # response of the latest attempt that has ended
-        self.attempt_history: list[tuple[float, str]] = []  # times and outcomes of its attempts, for the log
+        self.streaming_since = 0.0  # when streaming of the response began; 0 if it isn't streamed
+        self.ended = False  # whether the request has ended and is counted in the statistics
+        self.last: Response | None = None  # response of the last attempt that has ended
+        self.attempt_history: list[tuple[float, str]] = []  # times and outcomes of the attempts, for the log
 
 
 class PendingRequestOwner(Protocol):
-    """What a `ResponseRelay` needs of the ingress."""
+    """The part of the ingress that a `ResponseRelay` uses."""
 
     loop: asyncio.AbstractEventLoop
     statistics: RequestStatistics
 
     def submit(self, event: io.Event) -> None:
-        """Submit an event to the decisions."""
+        """Submit an event to the decision module."""
 
     def drop(self, exchange: Exchange) -> None:
         """Cancel an attempt."""
 
     def lines(self, answer: Response) -> bytes:
-        """The header lines of a backend's response that its client gets."""
+        """Return the header lines of a backend's response that are passed on to the client."""
 
 
 class ResponseRelay:
-    """Streams one attempt's large response to the client as the final one. `number` is the attempt's."""
+    """Streams the large response of attempt `number` to the client, as the final response."""
 
     __slots__ = ("ingress", "number", "pending", "sent")
 
@@ -91,20 +91,20 @@
         self.sent = ingress.loop.time()
 
     def written(self, exchange: Exchange) -> None:
-        """A streamed request body has been written completely."""
+        """Handle that a streamed request body has been written completely."""
         self.sent = self.ingress.loop.time()
         self.ingress.statistics.totals["upstream_requests"] += 1
         self.ingress.submit(io.AttemptWritten(self.pending.call.request.id, self.number, exchange.backend))
 
     def begin(self, exchange: Exchange, head: Response) -> None:
-        """Begin to stream the response, unless the request has been answered or its client is gone."""
+        """Begin to stream the response, unless the request is answered or its client has disconnected."""
         pending = self.pending
         now = self.ingress.loop.time()
-        if pending.answered:  # its client has disconnected, or has got another response
+        if pending.answered:  # the client has disconnected, or has received another response
             self.ingress.drop(exchange)
             return
         pending.answered = True
-        pending.flowing = now
+        pending.streaming_since = now
         if pending.timer is not None:
             pending.timer.cancel()
         pending.client.begin(self.ingress.lines(head), head.length, exchange)
@@ -113,5 +113,5 @@
         )
 
     def part(self, data: bytes) -> None:
-        """Pass on a part of the body."""
+        """Pass a part of the body on to the client."""
         self.pending.client.part(data)
--- a/ingress/net/pending_requests.py
+++ b/ingress/net/pending_requests.py
@@ -1,4 +1,4 @@
-"""The requests in flight: each is pending from its arrival to its one final response."""
+"""The requests in flight. A request is pending from its arrival to its one final response."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 
 log = logging.getLogger(__name__)
 
-MARGIN_S = 0.03  # before the client's own timeout, for the way back and scheduling delays
-MARGIN_SHARE = 0.2  # of a timeout: the margin is no longer than this
-DECIMALS = 3  # of Retry-After
-ENDINGS = {"200": "completed", "late": "completed", "429": "rejected", "503": "rejected"}  # others: failed
+MARGIN_S = 0.03  # the response is sent this long before the client's timeout, to arrive in time
+MAX_MARGIN_FRACTION = 0.2  # longest margin, as a fraction of the timeout
+RETRY_AFTER_DECIMALS = 3  # decimals of Retry-After
+# Any other outcome counts as failed.
+ENDING_BY_STATUS = {"200": "completed", "late": "completed", "429": "rejected", "503": "rejected"}
 
 
 class PendingRequests(ServiceProtocol):
-    """Accepts requests, and gives each exactly one response in time, whatever the decisions do."""
+    """Accepts requests, and gives each exactly one response in time, whatever the decision module does."""
 
     def __init__(
         self,
@@ -41,49 +42,49 @@
         self.statistics = RequestStatistics(loop)
 
     def submit(self, event: io.Event) -> None:
-        """Submit an event to the decisions."""
+        """Submit an event to the decision module."""
         raise NotImplementedError
 
     def take(self, call: ClientRequest, client: Client) -> None:
-        """Accept a client's request, to be answered exactly once via `client`; a duplicate id gets 400."""
+        """Accept a request, which `client` answers exactly once. A duplicate id is answered with 400."""
         r = call.request
         if r.id in self.pending:  # ids are unique
             client.reply(400, b"", b"")
             return
-        left = call.came + r.expires_in - self.loop.time()
-        left -= min(MARGIN_S, MARGIN_SHARE * r.expires_in)
+        left = call.received_at + r.expires_in - self.loop.time()
+        left -= min(MARGIN_S, MAX_MARGIN_FRACTION * r.expires_in)
         pending = self.pending[r.id] = PendingRequest(call, client, self.loop.time() + left)
         if call.upload is None or call.upload.complete:
             pending.timer = self.loop.call_at(pending.deadline, self.expire_request, pending)
         else:
-            pending.deadline = math.inf  # until its last byte has been received
+            pending.deadline = math.inf  # no deadline before the last byte is received
         self.submit(r._replace(expires_in=max(0.0, left), streams_body=call.upload is not None))
 
     def upload_received(self, call: ClientRequest) -> None:
-        """The streamed body of a request is complete: its time limit runs from here on."""
+        """Start the time limit of a request whose streamed body is complete."""
         pending = self.pending.get(call.request.id)
         if pending is None or pending.call is not call or pending.answered:
             return
         expires_in = call.request.expires_in
-        call.came = self.loop.time()
-        pending.deadline = call.came + expires_in - min(MARGIN_S, MARGIN_SHARE * expires_in)
+        call.received_at = self.loop.time()
+        pending.deadline = call.received_at + expires_in - min(MARGIN_S, MAX_MARGIN_FRACTION * expires_in)
         pending.timer = self.loop.call_at(pending.deadline, self.expire_request, pending)
 
     def abort_request(self, call: ClientRequest, status: int) -> None:
-        """The rest of a request's streamed body will not arrive or can't be read: answer with `status`."""
+        """Answer with `status`: the rest of a streamed body will not arrive or can't be read."""
         pending = self.pending.get(call.request.id)
         if pending is not None and pending.call is call and not pending.answered:
             self.submit(io.ClientGone(call.request.id))
             self.answer(pending, status)
 
     def upload_stalled(self, call: ClientRequest) -> None:
-        """A backend has accepted nothing of a streamed body for too long: the attempt has timed out."""
+        """Time an attempt out: its backend has accepted nothing of a streamed body for too long."""
         pending = self.pending.get(call.request.id)
         if pending is not None and pending.call is call and pending.exchange is not None:
             self.upstream.expire(pending.exchange)
 
     def gone(self, call: ClientRequest) -> None:
-        """The client has closed its connection: nothing more is sent for its request.
+        """Handle a client's disconnect: nothing more is sent for its request.
 
         An attempt that a backend has completely is waited for, unless `cancels_when_gone` says otherwise; the
         decisions count it as load until then.
@@ -92,7 +93,7 @@
         if pending is None or pending.ended:
             return
         self.record_outcome(pending, "gone")
-        if pending.flowing and pending.exchange is not None:
+        if pending.streaming_since and pending.exchange is not None:
             self.upstream.cancel(pending.exchange)
             return
         pending.answered = True
@@ -106,11 +107,11 @@
         self.forget(pending)
 
     def cancels_when_gone(self, pending: PendingRequest) -> bool:
-        """Whether a backend's work on a complete request is cancelled when its client disconnects."""
+        """Whether a backend's work on a complete request is cancelled when the client disconnects."""
         return False
 
     def expire_request(self, pending: PendingRequest) -> None:
-        """The request's deadline is reached: end the attempt, and answer if the decisions don't."""
+        """End the attempt at the request's deadline, and answer if the decision module doesn't."""
         if pending.exchange is not None:
             self.upstream.expire(pending.exchange)
         if not pending.answered:
@@ -121,7 +122,7 @@
         self.forget(pending)
 
     def may_refuse(self, pending: PendingRequest) -> bool:
-        """Whether a refusal, which implies that a retry is harmless, may be given.
+        """Whether the request may be refused, which tells the client that a retry is harmless.
 
         If nothing ran, or if retries of the class are harmless anyway.
         """
@@ -134,7 +135,7 @@
         )
 
     def send_final_response(self, name: str, refused: bool, wait: float) -> None:
-        """Give the decisions' final response: 502, or if `refused`, 503 or 429.
+        """Send the final response of the decision module: 502, or if `refused`, 503 or 429.
 
         429 is for a `wait` in seconds until a quota has room again.
         """
@@ -144,15 +145,16 @@
         if not refused:
             self.answer(pending, 502)
             return
-        after = max(wait, 10**-DECIMALS) if wait > 0 else self.settings.max_retry_after  # never sent as 0
+        # A wait above 0 isn't rounded to 0.
+        after = max(wait, 10**-RETRY_AFTER_DECIMALS) if wait > 0 else self.settings.max_retry_after
         self.answer(
             pending,
             429 if wait > 0 else 503,
-            b"Retry-After: %s\r\n" % f"{after:.{DECIMALS}f}".encode() if after > 0 else b"",
+            b"Retry-After: %s\r\n" % f"{after:.{RETRY_AFTER_DECIMALS}f}".encode() if after > 0 else b"",
         )
 
     def answer(self, pending: PendingRequest, status: int, lines: bytes = b"", body: bytes = b"") -> None:
-        """Give the one final response; any further one is dropped."""
+        """Send the one final response; any further response is dropped."""
         if pending.answered:
             return
         pending.answered = True
@@ -163,19 +165,22 @@
         self.forget(pending)
 
     def record_outcome(self, pending: PendingRequest, how: str) -> None:
-        """Count the end of a request, and log a sample of bad ones: of all but a 200 within the objective."""
+        """Count the end of a request, and log a sample of those that weren't a 200 within the objective."""
         if pending.ended:
             return
         pending.ended = True
         r = pending.call.request
         now = self.loop.time()
-        if how == "200" and (pending.flowing or now) - pending.call.came > self.objectives[r.class_name]:
+        if (
+            how == "200"
+            and (pending.streaming_since or now) - pending.call.received_at > self.objectives[r.class_name]
+        ):
             how = "late"
         self.statistics.counts[f"{r.plan} {how}"] += 1
-        self.statistics.totals[f"{ENDINGS.get(how, 'failed')}.{r.class_name}"] += 1
+        self.statistics.totals[f"{ENDING_BY_STATUS.get(how, 'failed')}.{r.class_name}"] += 1
         if how != "200" and self.statistics.bad(now):
             attempt_history = "".join(
-                f", +{at - pending.call.came:.3f} {what}" for at, what in pending.attempt_history
+                f", +{at - pending.call.received_at:.3f} {what}" for at, what in pending.attempt_history
             )
             log.info(
                 "request %s of %d: %s %s %g units: %s after %.3f s%s",
@@ -185,12 +190,12 @@
                 r.class_name,
                 r.units,
                 how,
-                now - pending.call.came,
+                now - pending.call.received_at,
                 attempt_history,
             )
 
     def forget(self, pending: PendingRequest) -> None:
-        """Drop a request that is answered and has no attempt in flight."""
+        """Forget a request that is answered and has no attempt in flight."""
         if pending.answered and pending.exchange is None:
             if pending.timer is not None:
                 pending.timer.cancel()
--- a/ingress/net/process_state.py
+++ b/ingress/net/process_state.py
@@ -1,4 +1,4 @@
-"""State in $TMPDIR that processes of one ingress share: with a successor, or a sibling during an upgrade."""
+"""State in $TMPDIR that a process of an ingress shares with its successor, or a sibling during an upgrade."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class State:
-    """Cordons in a file that is replaced atomically, and a locked file for each live process.
+    """Cordons in a file that is replaced atomically, and a locked file per live process.
 
     A lock ends with its process, however that ends; the mere existence of a file proves nothing. Without a
     folder, no state is kept. Errors of the file system are logged, not raised.
@@ -29,12 +29,12 @@
 
     def __init__(self, folder: str | None) -> None:
         self.folder = Path(folder) if folder else None
-        self.seen: tuple[int, int] | None = None  # inode and mtime of the cordons' file when last used
-        self.own = -1  # descriptor of this process's locked file
+        self.seen: tuple[int, int] | None = None  # inode and mtime of the cordon file when last used
+        self.own = -1  # descriptor of the locked file of this process
 
     @contextmanager
     def alone(self) -> Iterator[None]:
-        """A context in which no other process of the ingress reads or writes the state."""
+        """Return a context in which no other process of the ingress reads or writes the state."""
         file = -1
         try:
             if self.folder is not None:
@@ -49,7 +49,7 @@
                 os.close(file)
 
     def join(self) -> None:
-        """Become visible to sibling processes, and remove the files that dead ones have left."""
+        """Make this process visible to its siblings, and remove the files of dead processes."""
         if self.folder is None:
             return
         with self.alone():
@@ -63,12 +63,12 @@
             self.siblings()
 
     def publish(self, clients: int, backends: int) -> None:
-        """Publish the numbers of this process's connections to clients and backends."""
+        """Publish this process's numbers of client and backend connections."""
         if self.own >= 0:
             os.pwrite(self.own, f"{clients:6d} {backends:6d}\n".encode(), 0)
 
     def siblings(self) -> list[tuple[int, int]]:
-        """The numbers of connections, to clients and to backends, of each live sibling process."""
+        """Return the numbers of client and backend connections of each live sibling process."""
         alive: list[tuple[int, int]] = []
         for path in self.folder.glob(f"{PROCESS}*") if self.folder is not None else ():
             if path.name == f"{PROCESS}{os.getpid()}":
@@ -87,7 +87,7 @@
         return alive
 
     def changed_cordons(self) -> dict[str, io.CordonEntry] | None:
-        """The cordons, if their file can be read and has changed since it was last read or written."""
+        """Return the cordons if their file is readable and has changed since it was last read or written."""
         if self.folder is None:
             return None
         try:
@@ -104,7 +104,7 @@
             return None
 
     def write(self, cordon_entries: Mapping[str, io.CordonEntry]) -> None:
-        """Replace the cordons' file atomically: readers find the complete old one or the new one."""
+        """Replace the cordon file atomically: readers see either the old or the new content."""
         if self.folder is None:
             return
         new = self.folder / f"{NAME}.{os.getpid()}"
@@ -113,7 +113,7 @@
             stat = os.stat(new)
             os.replace(new, self.folder / NAME)
             self.seen = stat.st_ino, stat.st_mtime_ns
-        except OSError as error:  # they are in force in this process all the same
+        except OSError as error:  # the cordons still apply in this process
             log.error("state: the cordons are not kept: %s", error)
 
     def change(
@@ -121,7 +121,7 @@
         follow: Callable[[Mapping[str, io.CordonEntry]], None],
         order: Callable[[], Mapping[str, io.CordonEntry] | None],
     ) -> bool:
-        """Change the cordons under the lock; returns whether the change was valid.
+        """Change the cordons under the lock, and return whether the change was valid.
 
         `follow` adopts a sibling's changes, then `order` makes the change and returns the new cordons, or
         None if it isn't valid.
@@ -135,14 +135,14 @@
             return cordon_entries is not None
 
     def leave(self) -> None:
-        """Remove this process's file, at its end."""
+        """Remove the file of this process when it ends."""
         if self.folder is not None and self.own >= 0:
             (self.folder / f"{PROCESS}{os.getpid()}").unlink(missing_ok=True)
             os.close(self.own)
 
 
 def read_counts(text: bytes) -> tuple[int, int]:
-    """Parse the numbers that a process has published; 0 if there are none yet."""
+    """Parse the numbers that a process has published; 0 if it hasn't published any."""
     try:
         clients, backends = map(int, text.split())
     except ValueError:
@@ -151,7 +151,7 @@
 
 
 def read_cordon_entries(data: object) -> dict[str, io.CordonEntry]:
-    """Read the cordons from decoded JSON. Raises ValueError or TypeError for anything else."""
+    """Parse the cordons from decoded JSON. Raises ValueError or TypeError if they are malformed."""
     if not isinstance(data, dict):
         raise ValueError("not an object")
     cordon_entries = {
--- a/ingress/net/request_parser.py
+++ b/ingress/net/request_parser.py
@@ -1,4 +1,4 @@
-"""Parsing of a client request's headers into the decisions' `Request`."""
+"""Parsing of a client request's headers into the `Request` of the decision module."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 BUDGET = re.compile(rb"([0-9]{1,10})([mu])")
 UNITS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 COUNT = re.compile(r"[0-9]{1,9}")
-ONCE = {b"idempotency-key", b"host"}  # and all X- headers: repeated ones would be ambiguous
+SINGLE_REQUEST_HEADERS = {b"idempotency-key", b"host"}  # and all X- headers: a repetition would be ambiguous
 MAX_CUSTOMER = 1 << 33
 MAX_BUDGET_S = 3600.0
 
@@ -21,12 +21,12 @@
 def read_request(
     settings: io.Settings, customer: bytes, method: bytes, headers: list[tuple[bytes, bytes]]
 ) -> io.Request:
-    """The decisions' request from the headers; `customer` is hexadecimal.
+    """Return the request for the decision module from the headers; `customer` is hexadecimal.
 
     Raises:
         MalformedRequestError: The headers are invalid.
     """
-    values = single_values(headers, lambda key: key.startswith(b"x-") or key in ONCE)
+    values = single_values(headers, lambda key: key.startswith(b"x-") or key in SINGLE_REQUEST_HEADERS)
     number = int(customer, 16)
     call_id = values.get(b"x-call-id", b"")
     budget = BUDGET.fullmatch(values.get(b"x-budget", b""))
@@ -45,7 +45,7 @@
     expires_in = int(budget[1]) / (1e3 if budget[2] == b"m" else 1e6) if budget else 0.0
     if not 0 < expires_in <= MAX_BUDGET_S:
         raise MalformedRequestError("x-budget: expected a time such as 480m")
-    if cls.deadline > 0:  # a silent backend must not hold a request longer than any client waits
+    if cls.deadline > 0:  # an unresponsive backend must not hold a request longer than any client waits
         expires_in = min(expires_in, cls.deadline)
     units, spread, first = _terms(values.get(b"x-call-terms", b""), settings)
     return io.Request(
@@ -64,7 +64,7 @@
 def single_values(
     headers: list[tuple[bytes, bytes]], is_single: Callable[[bytes], bool]
 ) -> dict[bytes, bytes]:
-    """The headers by lower case name, of a repeated one the last value.
+    """Return the headers by lower-case name; of a repeated header, the last value.
 
     Raises:
         MalformedRequestError: One that must be single is repeated; a backend might take its other value, and
@@ -80,7 +80,7 @@
 
 
 def _check_effect(effect: io.Effect, method: bytes, values: dict[bytes, bytes]) -> None:
-    """Check that the method fits the class, and that a deduplicated request has its key."""
+    """Check that the class allows the method, and that a deduplicated request has its key."""
     if (method == b"GET") != (effect is io.Effect.SAFE) or method not in (b"GET", b"POST"):
         raise MalformedRequestError("the method does not fit the class")
     if effect is io.Effect.KEYED and not values.get(b"idempotency-key"):
--- a/ingress/net/response_queue.py
+++ b/ingress/net/response_queue.py
@@ -1,4 +1,4 @@
-"""The responses on a client's connection, in the order of its requests: each complete, or streamed."""
+"""The responses on a client connection, complete or streamed, in the order of its requests."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class ResponseQueue(ClientConnectionBase):
-    """Has one request handled at a time; those that were read ahead (pipelined) wait."""
+    """Has one request handled at a time. Requests that were read ahead (pipelined) wait."""
 
     def __init__(self, server: ConnectionServer) -> None:
         super().__init__(server)
         self.waiting: deque[tuple[ClientRequest | ImmediateResponse, bool]] = deque()
-        self.call: ClientRequest | None = None  # the one that is being handled
-        self.source: Exchange | None = None  # of a response that is being streamed
-        self.chunked = False  # whether it is streamed in chunked encoding
+        self.call: ClientRequest | None = None  # the request being handled
+        self.source: Exchange | None = None  # exchange of the response being streamed
+        self.chunked = False  # whether the response is streamed in chunked encoding
 
     def regulate(self) -> None:
-        """Pause or resume reading, by the requests that wait."""
+        """Pause or resume reading, by the number of waiting requests."""
         raise NotImplementedError
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed: drop waiting requests, and report the client gone for the present one."""
+        """Drop the waiting requests of a closed connection, and report that its client has disconnected."""
         super().connection_lost(exc)
         for item, _ in self.waiting:
             if isinstance(item, ClientRequest):
@@ -40,31 +40,31 @@
             self.server.request_handler.gone(call)
 
     def pause_writing(self) -> None:
-        """The client doesn't read its responses: its further requests wait, for a limited time."""
-        self.full_since = self.loop.time()
+        """Let further requests wait for a limited time, as the client doesn't read its responses."""
+        self.unread_since = self.loop.time()
         if self.source is not None:
             self.source.pause()
 
     def resume_writing(self) -> None:
-        """The client reads again."""
-        self.full_since = 0.0
+        """Go on with the waiting requests, as the client reads again."""
+        self.unread_since = 0.0
         self.flowed = self.source is not None
         if self.source is not None:
             self.source.resume()
         self.proceed()
 
     def enqueue(self, item: ClientRequest | ImmediateResponse, keep: bool) -> None:
-        """Add a request, or the response to one; `keep`: the connection may stay open after it."""
+        """Add a request, or the response to one. With `keep`, the connection may stay open afterwards."""
         self.waiting.append((item, keep))
         self.regulate()
         if self.call is None:
             self.proceed()
 
     def proceed(self) -> None:
-        """Process what has been read ahead, up to the next request that has to wait for its response."""
-        while self.waiting and self.call is None and not self.closing and not self.full_since:
+        """Process the requests read ahead, up to the next one that has to wait for its response."""
+        while self.waiting and self.call is None and not self.closing and not self.unread_since:
             item, self.keep = self.waiting.popleft()
-            self.owed = max(0, self.owed - 1)
+            self.queued_before_drain = max(0, self.queued_before_drain - 1)
             if isinstance(item, ClientRequest):
                 self.call = item
                 self.server.request_handler.take(item, self)
@@ -75,22 +75,22 @@
             self.regulate()
 
     def drain(self) -> None:
-        """Begin to drain: the response to the last request that has been read by now is the last one."""
-        self.owed = len(self.waiting)
+        """Begin to drain. The last response is the one to the last request read by now."""
+        self.queued_before_drain = len(self.waiting)
 
     def reply(self, status: int, lines: bytes, body: bytes) -> None:
-        """Send the complete final response to the present request."""
+        """Send the complete final response to the current request."""
         call, self.call = self.call, None
         if call is not None:
             self.release(call)
-        if status == HTTPStatus.BAD_REQUEST:  # rejected only by the handler, for a duplicate id
+        if status == HTTPStatus.BAD_REQUEST:  # the handler rejected a duplicate id
             self.discarding_input = True
             self.keep = False
         if call is not None and call.unfinished:
             self.keep = False
             call.drop_rest()
         self.write(status, lines, body, call is not None and call.bodiless)
-        if self.waiting:  # not from here: this may be deep inside an event
+        if self.waiting:  # deferred, as this may be called while an event is handled
             self.loop.call_soon(self.proceed)
 
     def begin(self, lines: bytes, length: int | None, source: Exchange) -> None:
@@ -113,7 +113,7 @@
             self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.chunked else data)
 
     def finish(self) -> None:
-        """The streamed response is complete: go on with the next request, or close."""
+        """Complete the streamed response, and go on with the next request, or close."""
         if self.call is not None:
             self.call.drop_rest()
         self.call = None
@@ -129,7 +129,7 @@
             self.loop.call_soon(self.proceed)
 
     def break_off(self) -> None:
-        """The rest of a streamed response is lost: abort, so that the client sees that it is incomplete."""
+        """Abort, so that the client sees that a streamed response is incomplete."""
         self.call = None
         self.source = None
         if self.transport is not None:
@@ -137,5 +137,5 @@
 
     def release(self, call: ClientRequest) -> None:
         """Release a request's share of the buffer for bodies."""
-        self.server.bodies -= call.reserved
+        self.server.body_bytes -= call.reserved
         call.reserved = 0
--- a/ingress/net/reuseport.py
+++ b/ingress/net/reuseport.py
@@ -1,4 +1,4 @@
-"""Steering of new connections on a shared (SO_REUSEPORT) address to the process that takes over."""
+"""Direction of new connections on a shared (SO_REUSEPORT) address to the process that takes over."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 SO_ATTACH_REUSEPORT_CBPF = 51  # Linux; not defined by the standard library
 RETURN = 0x06  # BPF_RET | BPF_K
-NEWEST = 1  # index of the newer listener: they are numbered in order, and there are two at most
+NEWEST = 1  # index of the newer of two listeners, which are numbered in order
 
 
 def divert_new_connections(fileno: int) -> None:
@@ -25,5 +25,5 @@
     with socket.socket(fileno=socket.dup(fileno)) as listener:
         try:
             listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
-        except OSError as error:  # the kernel still distributes them by its hash
+        except OSError as error:  # the kernel still distributes them by hash
             log.warning("new connections are not steered: %s", error)
--- a/ingress/net/server.py
+++ b/ingress/net/server.py
@@ -12,44 +12,43 @@
 from ingress.net.ingress import Ingress
 from ingress.net.reuseport import divert_new_connections
 
-SWEEP_S = 0.25  # between checks of the connections' time limits
-NOTICE_S = 0.5  # after a drain begins, during which new connections still arrive for up to 0.4 s
-DRAIN_IDLE_S = 0.3  # without a request, after which a drain closes a connection
+SWEEP_INTERVAL_S = 0.25  # of the checks of the connections' time limits
+DRAIN_ACCEPT_S = 0.5  # new connections arrive until up to 0.4 s after a drain begins
+DRAIN_IDLE_S = 0.3  # a drain closes connections that have had no request for this time
 
 
 class Server:
-    """Accepts client connections, at most `most` together with sibling processes, and drains them.
+    """Accepts client connections, and drains them.
 
-    `bodies_most` is the limit in bytes for all larger buffered bodies.
+    `max_connections` is the limit for this process and its siblings together; `max_body_bytes` the limit for
+    all larger buffered bodies.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         ingress: Ingress,
-        most: int,
-        bodies_most: int = 0,
+        max_connections: int,
+        max_body_bytes: int = 0,
         limits: Limits | None = None,
     ) -> None:
         self.loop = loop
         self.ingress = ingress
-        self.most = most
+        self.max_connections = max_connections
         self.limits = limits or connection_interfaces.USUAL
-        # bytes of larger buffered bodies
-        self.bodies = 0
-        self.bodies_most = bodies_most
+        self.body_bytes = 0  # total size of the larger buffered bodies
+        self.max_body_bytes = max_body_bytes
         self.connections: set[ClientConnection] = set()
-        self.order: Iterator[int] = itertools.count()  # for the order of last reads: the clock is too coarse
-        # temporarily; and for the end of the process
-        self.draining = False
-        self.leaving = False
+        self.order: Iterator[int] = itertools.count()  # numbers all reads: the clock is too coarse
+        self.draining = False  # whether a drain is in progress, which may be temporary
+        self.leaving = False  # whether the process is draining in order to end
         self.drain_task: asyncio.Task[None] | None = None
         self.listener: asyncio.Server | None = None
-        self.sweeper = loop.call_later(SWEEP_S, self.sweep)
+        self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     @property
     def request_handler(self) -> Ingress:
-        """What handles the requests."""
+        """The handler of the requests."""
         return self.ingress
 
     async def listen(self, host: str, port: int) -> None:
@@ -59,7 +58,7 @@
         )
 
     def ready(self) -> bool:
-        """Whether a request could be served: the server isn't draining, and there is a usable backend."""
+        """Whether a request can be served: the server isn't draining, and a backend is usable."""
         return not self.draining and any(map(self.ingress.open_to, self.ingress.serving))
 
     def healthy(self) -> bool:
@@ -67,11 +66,11 @@
 
         A leaving process says yes while a sibling takes over.
         """
-        return self.ready() or (self.leaving and self.ingress.beside > 0)
+        return self.ready() or (self.leaving and self.ingress.sibling_count > 0)
 
     def room(self, more: int) -> bool:
-        """Whether so many more bytes of bodies may be buffered; sibling processes divide the limit."""
-        return self.bodies + more <= self.bodies_most // (1 + self.ingress.beside)
+        """Whether `more` bytes of bodies may be buffered in addition; sibling processes divide the limit."""
+        return self.body_bytes + more <= self.max_body_bytes // (1 + self.ingress.sibling_count)
 
     def connection_opened(self, connection: ClientConnection) -> None:
         """Register a connection.
@@ -81,22 +80,22 @@
         response, the request would be lost.
         """
         self.connections.add(connection)
-        if len(self.connections) + self.ingress.sibling_clients > self.most:
-            for other in sorted(self.connections, key=lambda c: (c.used, c.heard)):
+        if len(self.connections) + self.ingress.sibling_clients > self.max_connections:
+            for other in sorted(self.connections, key=lambda c: (c.used, c.last_read_order)):
                 if other is not connection and other.idle():
                     other.close()
                     return
             connection.crowded = True
 
     def sweep(self) -> None:
-        """Enforce the time limits of all connections, periodically."""
+        """Enforce the time limits of all connections; called periodically."""
         now = self.loop.time()
         for connection in list(self.connections):
             connection.sweep(now)
-        self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
+        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def drain(self) -> None:
-        """Fail health checks, and close all connections, each after its response or once it is idle."""
+        """Fail health checks, and close every connection after its response or once it is idle."""
         if not self.draining:
             self.draining = True
             for connection in self.connections:
@@ -104,8 +103,8 @@
             self.drain_task = self.loop.create_task(self.release_connections())
 
     async def release_connections(self) -> None:
-        """Close idle connections after `NOTICE_S`: one accepted last may send its request only then."""
-        await asyncio.sleep(NOTICE_S)
+        """Close idle connections after `DRAIN_ACCEPT_S`, as one accepted last may still send a request."""
+        await asyncio.sleep(DRAIN_ACCEPT_S)
         while True:
             idle_since = self.loop.time() - DRAIN_IDLE_S
             for connection in list(self.connections):
@@ -124,14 +123,14 @@
         return True
 
     async def leave(self) -> None:
-        """Drain for good: accept connections for `NOTICE_S`, unless a sibling does; wait for all to end."""
+        """Drain and end: accept connections for `DRAIN_ACCEPT_S` if no sibling does, and wait for all."""
         self.leaving = True
         self.ingress.follow(len(self.connections))
         sockets = self.listener.sockets if self.listener is not None else ()
         for listener in sockets:
             divert_new_connections(listener.fileno())
         self.drain()
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(DRAIN_ACCEPT_S)
         if self.listener is not None:
             self.listener.close()
         while self.connections:
--- a/ingress/net/service_protocol.py
+++ b/ingress/net/service_protocol.py
@@ -1,4 +1,4 @@
-"""The service's protocol on top of HTTP, towards clients and backends; subclasses may replace it."""
+"""The service's protocol on top of HTTP, for clients and backends. Subclasses may replace it."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class ServiceProtocol:
-    """The paths, headers and statuses of the service: how requests and responses are read and written."""
+    """The paths, headers and statuses with which requests and responses are read and written."""
 
     health_path: bytes | None = b"/healthz"
     withheld_headers = frozenset((b"x-budget",))  # request headers that aren't passed on to backends
-    label = b""  # the response header with the request's id; empty: none
-    streams = False  # whether backends may begin to execute a request before it is complete
-    ends = PLAIN  # how responses end, except those to HEAD
+    label = b""  # response header with the request's id; empty if there is none
+    streams = False  # whether backends may begin to execute an incomplete request
+    ends = PLAIN  # how responses end, except responses to HEAD
 
     def __init__(self, settings: io.Settings, load_fields: tuple[str, ...]) -> None:
         self.settings = settings
@@ -26,7 +26,7 @@
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]]
     ) -> io.Request | ImmediateResponse:
-        """The decisions' request from a client's, or the immediate response to an invalid one."""
+        """Return the request for the decision module, or the immediate response to an invalid one."""
         match = CUSTOMER.fullmatch(url)
         if match is None:
             return ImmediateResponse(404, "no such path", close=True)
@@ -36,20 +36,20 @@
             return ImmediateResponse(error.status, str(error), close=True)
 
     def message(self, call: ClientRequest, backend: str, patience: float) -> bytes:
-        """The request as sent to a backend; `patience` is how long this ingress will wait, in seconds."""
+        """Return the request as sent to a backend; `patience` is how long this ingress waits, in seconds."""
         return call.message(b"X-Budget: %dm\r\n" % max(1, int(patience * 1000)))
 
     def outcome(self, call: ClientRequest, answer: Response) -> io.Outcome | None:
-        """The outcome of an attempt by its response; None if that belongs to another request."""
+        """Return the outcome of an attempt by its response; None for a response to another request."""
         return outcome_of(answer)
 
     def lines(self, answer: Response) -> bytes:
-        """The header lines of a backend's response that its client gets."""
+        """Return the header lines of a backend's response that are passed on to the client."""
         kind = answer.headers.get(b"content-type")
         return b"Content-Type: %s\r\n" % kind if kind else b""
 
     def load(self, answer: Response | None) -> dict[str, float]:
-        """The load report of a response, in its header or, for a probe, its body: `TEXT name=value, ...`."""
+        """Return the load report of a response, from its header or a probe's body: `TEXT name=value, ...`."""
         if answer is None:
             return {}
         text = (answer.headers.get(b"x-load-report") or answer.body).decode("ascii", "replace")
--- a/ingress/net/upload.py
+++ b/ingress/net/upload.py
@@ -1,4 +1,4 @@
-"""A request's large body, streamed from the client to the attempt in flight."""
+"""A large request body, streamed from the client to the attempt in flight."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
         """Write a part of the body."""
 
     def uploaded(self) -> None:
-        """The last part has been written."""
+        """Record that the last part has been written."""
 
 
 class Upload:
@@ -35,7 +35,7 @@
         self.unwanted = False
 
     def feed(self, data: bytes) -> None:
-        """A part of the body has been received."""
+        """Add a part of the body."""
         if self.unwanted:
             return
         if self.writer is None:
@@ -45,17 +45,17 @@
             self.writer.body(self.framed(data))
 
     def framed(self, data: bytes) -> bytes:
-        """A part of the body as it is written: a chunk, if the body has no length."""
+        """Return a part of the body as it is written: as a chunk if the body has no length."""
         return data if self.length is not None else b"%x\r\n%s\r\n" % (len(data), data)
 
     def finish(self) -> None:
-        """The body has been received completely."""
+        """End the body, which has been received completely."""
         self.complete = True
         if self.writer is not None:
             self.end(self.writer)
 
     def attach(self, writer: UploadWriter) -> None:
-        """An attempt begins: write what is buffered to its connection, and then what follows."""
+        """Begin an attempt: write the buffered part to its connection, and later the following parts."""
         self.writer = writer
         self.spent = True
         if self.buffer:
@@ -73,7 +73,7 @@
         writer.uploaded()
 
     def drop(self) -> None:
-        """The request has its final response: the rest of the body is read and discarded."""
+        """Discard the rest of the body, as the request has its final response."""
         self.writer = None
         self.unwanted = True
         self.buffer.clear()
--- a/ingress/net/upstream.py
+++ b/ingress/net/upstream.py
@@ -14,14 +14,14 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_SHARE = 0.5  # of the backends' own idle timeout, after which a connection isn't used any more
-SWEEP_S = 1.0  # between checks for idle connections
-STALL_S = 0.25  # of silence in the middle of a response, after which the rest isn't waited for
-FLOW_STALL_S = 5.0  # the same for a streamed response, in whose place the client can't get another one
+IDLE_TIMEOUT_FRACTION = 0.5  # of the backends' idle timeout; a connection idle for longer isn't used
+SWEEP_INTERVAL_S = 1.0  # of the checks for idle connections
+STALL_S = 0.25  # the rest of a response that stalls midway for this time isn't waited for
+FLOW_STALL_S = 5.0  # the same for a streamed response, which can't be replaced by another one
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a backend; it carries one exchange at a time."""
+    """A connection to a backend, which carries one exchange at a time."""
 
     def __init__(self, pool: Pool, sock: socket.socket) -> None:
         self.pool = pool
@@ -31,17 +31,17 @@
         self.exchange: Exchange | None = None
         self.idle_since = 0.0
         self.closed = False
-        self.flowing = False
+        self.streaming = False
         self.paused = False
-        self.saw_foreign_answer = False  # a response to another request was received
+        self.saw_foreign_answer = False  # whether a response to another request was received
         self.stall: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Keep the transport of the open connection."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's isn't a subclass
 
     def stale(self) -> bool:
-        """Whether the other side has closed it, or has sent bytes that weren't read yet."""
+        """Whether the backend has closed the connection, or has sent bytes that weren't read yet."""
         if self.closed:
             return True
         try:
@@ -50,7 +50,7 @@
             return True
 
     def unread(self) -> bool:
-        """Whether bytes or a close have arrived that weren't read yet. Raises OSError if it was reset."""
+        """Whether unread bytes or a close have arrived. Raises OSError if the connection was reset."""
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -58,7 +58,7 @@
         return True
 
     def send(self, exchange: Exchange) -> None:
-        """Write the request. After its last byte a failure counts as a reset: the backend may have it all."""
+        """Write the request. A failure after its last byte counts as a reset: the backend may have it all."""
         assert self.transport is not None
         self.exchange = exchange
         exchange.connection = self
@@ -79,29 +79,29 @@
             self.transport.write(data)
 
     def uploaded(self) -> None:
-        """The last part of the request body has been written."""
+        """Record that the last part of the request body has been written."""
         if self.exchange is not None and self.exchange.sink is not None:
             self.exchange.end_upload()
             self.exchange.written = True
             self.exchange.sink.written(self.exchange)
 
     def pause_writing(self) -> None:
-        """The backend accepts a body more slowly than it arrives: suspend the upload."""
+        """Suspend the upload, as the backend accepts the body more slowly than it arrives."""
         if self.exchange is not None and self.exchange.upload is not None:
             self.exchange.upload.hold(True)
 
     def resume_writing(self) -> None:
-        """The backend accepts data again: resume the upload."""
+        """Resume the upload, as the backend accepts data again."""
         if self.exchange is not None and self.exchange.upload is not None:
             self.exchange.upload.hold(False)
 
     def data_received(self, data: bytes) -> None:
-        """Parse the bytes of one read, of which only the first response is the exchange's.
+        """Parse the bytes of one read. Only the first response belongs to the exchange.
 
         The connection is reused only after the whole read has been examined: what follows the response, a
         duplicate of it or garbage, would be taken for the response to the next request.
         """
-        self.pool.heard += 1
+        self.pool.read_count += 1
         if self.stall is not None:
             self.stall.cancel()
         if self.exchange is None:
@@ -110,7 +110,7 @@
         self.read(self.reader.feed(data))
 
     def eof_received(self) -> None:
-        """The backend has ended its sending, which may complete a response."""
+        """Handle the end of the input, which may complete a response."""
         if self.exchange is not None:
             self.read(self.reader.end())
 
@@ -127,7 +127,7 @@
             self.stall = self.pool.loop.call_later(STALL_S, self.stalled)
 
     def mine(self, answers: list[Response]) -> Response | None:
-        """The response to the exchange's request; responses to other requests may precede it."""
+        """Return the response to the exchange's request; responses to other requests may precede it."""
         for answer in answers:
             if self.exchange is not None and self.exchange.judge(answer) is not None:
                 return answer
@@ -145,12 +145,12 @@
         if exchange is None or exchange.sink is None or exchange.judge(head) is not io.Outcome.OK:
             self.corrupt("the body is too large")
             return
-        if not self.flowing:
-            self.flowing = True
+        if not self.streaming:
+            self.streaming = True
             exchange.begin(exchange.sink, head)
         if (part := reader.take()) and not self.closed:
             exchange.sink.part(part)
-        if self.closed:  # its client has disconnected
+        if self.closed:  # the client has disconnected
             return
         if reader.done:
             self.answered(head, not (surplus or reader.partial or reader.broken))
@@ -160,7 +160,7 @@
             self.stall = self.pool.loop.call_later(FLOW_STALL_S, self.stalled)
 
     def pause(self) -> None:
-        """Stop reading, as the receiver of a streamed response is behind."""
+        """Stop reading while the receiver of a streamed response is slow."""
         if not self.paused and not self.closed and self.transport is not None:
             self.paused = True
             self.transport.pause_reading()
@@ -175,13 +175,13 @@
             self.stall = self.pool.loop.call_later(FLOW_STALL_S, self.stalled)
 
     def answered(self, answer: Response, clean: bool) -> None:
-        """The response is complete: end the exchange, and keep the connection if it is `clean`."""
+        """End the exchange, whose response is complete, and keep the connection if it is `clean`."""
         exchange, self.exchange = self.exchange, None
         assert exchange is not None
         exchange.connection = None
         exchange.end_upload()
         clean = clean and exchange.written and exchange.named(answer) and self.sent()
-        self.flowing = False
+        self.streaming = False
         self.resume()
         if self.stall is not None:
             self.stall.cancel()
@@ -192,14 +192,14 @@
         exchange.end(exchange.judge(answer) or io.Outcome.RESET, answer)
 
     def stalled(self) -> None:
-        """A response has stalled midway.
+        """Handle a response that has stalled midway.
 
-        Wait on only if the client can't get another one (`Exchange.waits`), or if there are unread bytes, as
-        then it was this process that paused.
+        Wait only if the client can't get another response (`Exchange.should_wait`), or if there are unread
+        bytes, in which case this process has paused the reading.
         """
-        waits = self.exchange is not None and self.exchange.waits()
+        should_wait = self.exchange is not None and self.exchange.should_wait()
         try:
-            goes_on = not self.closed and (self.unread() or waits)
+            goes_on = not self.closed and (self.unread() or should_wait)
         except OSError:  # reported only once: the next read sees a plain close, which might end the response
             goes_on = False
         if goes_on:
@@ -208,7 +208,7 @@
             self.corrupt("the answer stops midway")
 
     def corrupt(self, why: str) -> None:
-        """End the exchange without a usable response; its request may have run."""
+        """End the exchange without a usable response. The request may have run."""
         exchange = self.exchange
         self.drop()
         if exchange is not None:
@@ -217,7 +217,7 @@
             exchange.end(io.Outcome.RESET if exchange.may_have_run else io.Outcome.CONNECT_FAILED)
 
     def drop(self) -> None:
-        """Close it at once: the kernel has the close before anything else is written to any connection."""
+        """Close at once. The kernel has the close before anything else is written to any connection."""
         if self.closed:
             return
         self.closed = True
@@ -233,12 +233,12 @@
         self.pool.forget(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed."""
+        """Handle that the connection is closed."""
         self.corrupt("the connection ended")
 
 
 class Pool:
-    """The connections to one backend; the newest idle one is used first, so that the others can expire."""
+    """The connections to one backend. The newest idle one is used first, so that the others can expire."""
 
     def __init__(
         self, backend: str, endpoint: Endpoint, loop: asyncio.AbstractEventLoop, connections: set[Connection]
@@ -247,14 +247,14 @@
         self.endpoint = endpoint
         self.loop = loop
         self.idle: list[Connection] = []
-        self.connections = connections  # those of all pools, also of retired ones: each takes a descriptor
-        self.retired = False  # the backend has moved or restarted: no connection is kept for reuse
-        self.heard = 0  # number of reads; the loop's clock is too coarse to order events
+        self.connections = connections  # of all pools, also of retired ones, as each takes a descriptor
+        self.retired = False  # whether the backend has moved or restarted: no connection is kept for reuse
+        self.read_count = 0  # used to order events, as the loop's clock is too coarse
 
     def take(self, oldest: float) -> Connection | None:
-        """The newest idle connection that is still open and idle since `oldest` (loop time) or later.
+        """Return the newest idle connection that is open and became idle at `oldest` (loop time) or later.
 
-        None if there is none. Others are closed.
+        None if there is none. The other connections are closed.
         """
         while self.idle:
             connection = self.idle.pop()
@@ -284,9 +284,10 @@
 
 
 class Upstream:
-    """The pools of all backends, with at most `most` connections together with sibling processes.
+    """The pools of all backends.
 
-    Times are in seconds; `idle` is the backends' own idle timeout.
+    `max_connections` is the limit for this process and its siblings together. Times are in seconds; `idle` is
+    the backends' idle timeout.
     """
 
     def __init__(
@@ -294,39 +295,39 @@
         loop: asyncio.AbstractEventLoop,
         connect_timeout: float,
         idle: float,
-        most: int,
+        max_connections: int,
         silent: float = 0.0,
     ) -> None:
         self.loop = loop
         self.connect_timeout = connect_timeout
-        self.most = most
-        self.silent = silent  # TCP user timeout in seconds; 0: the system's
-        self.idle = IDLE_SHARE * idle
+        self.max_connections = max_connections
+        self.silent = silent  # TCP user timeout in seconds; 0: the system's default
+        self.idle = IDLE_TIMEOUT_FRACTION * idle
         self.pools: dict[str, Pool] = {}
         self.connections: set[Connection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.opening = 0
-        self.beside = 0  # connections of sibling processes of this ingress
-        self.sweeper = loop.call_later(SWEEP_S, self.sweep)
+        self.sibling_connections = 0  # connections of sibling processes of this ingress
+        self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def update(self, backend: str, endpoint: Endpoint | None) -> None:
-        """Set a backend's endpoint, or None if it is removed; old connections aren't used after a change."""
+        """Set a backend's endpoint, or remove it (None). Old connections aren't used after a change."""
         pool = self.pools.get(backend)
         if pool is not None and pool.endpoint != endpoint:
             pool.close_idle()
-            pool.retired = True  # those in use are not kept afterwards
+            pool.retired = True  # connections in use aren't kept afterwards
             del self.pools[backend]
             pool = None
         if pool is None and endpoint is not None:
             self.pools[backend] = Pool(backend, endpoint, self.loop, self.connections)
 
     def send(self, exchange: Exchange, timeout: float) -> None:
-        """Carry out one exchange within `timeout` seconds; it may have ended before this returns."""
+        """Carry out an exchange within `timeout` seconds. It may have ended when this returns."""
         pool = self.pools.get(exchange.backend)
         if pool is None or not exchange.may_send():
             exchange.end(io.Outcome.NOT_SENT)
             return
-        exchange.heard = pool.heard
+        exchange.reads_at_start = pool.read_count
         if timeout < math.inf:
             exchange.timer = self.loop.call_later(max(0.0, timeout), self.expire, exchange)
         connection = pool.take(self.loop.time() - self.idle)
@@ -341,7 +342,7 @@
             task.add_done_callback(self.tasks.discard)
 
     def expire(self, exchange: Exchange) -> None:
-        """An exchange has timed out."""
+        """End an exchange that has timed out."""
         self.give_up(exchange, io.Outcome.TIMEOUT)
 
     def cancel(self, exchange: Exchange) -> None:
@@ -355,12 +356,12 @@
         too, and are closed.
         """
         pool = self.pools.get(exchange.backend)
-        if pool is not None and exchange.written and pool.heard == exchange.heard:
+        if pool is not None and exchange.written and pool.read_count == exchange.reads_at_start:
             pool.close_idle()
         exchange.give_up(outcome)
 
     async def open(self, pool: Pool, exchange: Exchange) -> None:
-        """Open a connection for an exchange, and send its request on it.
+        """Open a connection for an exchange, and send the request on it.
 
         The end of the exchange doesn't cancel this: once a transport owns the descriptor, closing it here too
         would close whatever has the same number by then.
@@ -408,8 +409,8 @@
         return connection
 
     def room(self) -> bool:
-        """Whether one more socket may be opened, if need be after closing the one idle longest."""
-        if self.opening + len(self.connections) + self.beside < self.most:
+        """Whether one more socket may be opened. If necessary, closes the connection idle longest."""
+        if self.opening + len(self.connections) + self.sibling_connections < self.max_connections:
             return True
         idle = [p.idle[0] for p in self.pools.values() if p.idle]
         if idle:
@@ -422,14 +423,14 @@
             self.pools[backend].close_idle()
 
     def sweep(self) -> None:
-        """Close idle connections well before the backend does: a request that crosses its close is reset."""
+        """Close idle connections before the backend does, as a request that crosses its close is reset."""
         oldest = self.loop.time() - self.idle
         for pool in self.pools.values():
             pool.close_idle(oldest)
-        self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
+        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def close(self) -> None:
-        """Close everything, at the end of the program."""
+        """Close all connections when the process ends."""
         self.sweeper.cancel()
         for connection in list(self.connections):
             connection.drop()
--- a/ingress/net/upstream_attempts.py
+++ b/ingress/net/upstream_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at backends and health checks: sent as the decisions order, with their outcomes reported."""
+"""Attempts at backends and health checks, as the decision module orders them."""
 
 from __future__ import annotations
 
@@ -73,18 +73,18 @@
             self.label,
             self.streams,
         )
-        exchange.waits = partial(self.waits_for_silent_backend, pending)
+        exchange.should_wait = partial(self.waits_for_silent_backend, pending)
         left = pending.deadline - now
         self.upstream.send(exchange, left if action.timeout is None else min(left, action.timeout))
 
     def waits_for_silent_backend(self, pending: PendingRequest) -> bool:
-        """Whether to wait on for the rest of a response that has stalled."""
+        """Whether to wait for the rest of a response that has stalled."""
         return False
 
     def ended(
         self, passing: ResponseRelay, exchange: Exchange, outcome: io.Outcome, answer: Response | None
     ) -> None:
-        """An attempt has ended: a success is the final response, on anything else the decisions decide."""
+        """Handle the end of an attempt. A success is the final response; else the decision module decides."""
         pending = passing.pending
         pending.exchange = None
         pending.attempt_history.append((self.loop.time(), outcome.value))
@@ -94,12 +94,12 @@
         units = 0.0
         if answer is not None and outcome is io.Outcome.OK:
             units = read_number(answer.headers.get(b"x-cost-units", b""))
-            if units > self.settings.max_units:  # more than any request may cost: invalid
+            if units > self.settings.max_units:  # invalid, as no request may cost more
                 units = 0.0
-            if not pending.flowing:
+            if not pending.streaming_since:
                 length = b"" if answer.length is None else b"Content-Length: %d\r\n" % answer.length
                 self.answer(pending, answer.status, self.lines(answer) + length, answer.body)
-        if pending.flowing:
+        if pending.streaming_since:
             self.passed(pending, outcome)
         upload = pending.call.upload
         self.submit(
@@ -118,7 +118,7 @@
         self.forget(pending)
 
     def passed(self, pending: PendingRequest, outcome: io.Outcome) -> None:
-        """A streamed response has ended; if it is incomplete, the client sees its connection aborted."""
+        """End a streamed response. If it is incomplete, the client sees its connection aborted."""
         self.record_outcome(pending, "200" if outcome is io.Outcome.OK else "broken")
         if outcome is io.Outcome.OK:
             pending.client.finish()
@@ -126,7 +126,7 @@
             pending.client.break_off()
 
     def check_health(self, backend: str) -> None:
-        """Request a backend's load; the response may be a 503."""
+        """Request a backend's load. The response may be a 503."""
         began = self.loop.time()
 
         def ended(exchange: Exchange, outcome: io.Outcome, answer: Response | None) -> None:
--- a/ingress/wire_fields.py
+++ b/ingress/wire_fields.py
@@ -1,4 +1,4 @@
-"""Fields of the simulator's line protocol: parsing, with errors that name message and field."""
+"""Parsing of the fields of the simulator's line protocol, with errors that name message and field."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class WireError(Exception):
-    """A malformed line; the text names the message, the field and what was expected."""
+    """A malformed line. The text names the message, the field and what was expected."""
 
 
 def fail(message: str, field: str, expected: str, got: object) -> NoReturn:
@@ -21,7 +21,7 @@
 
 
 def read_number(message: str, field: str, text: str, low: float = -math.inf) -> float:
-    """A finite number of `low` or more."""
+    """Parse a finite number of at least `low`."""
     try:
         value = float(text)
     except ValueError:
@@ -32,12 +32,12 @@
 
 
 def read_optional(message: str, field: str, text: str, low: float = 0.0) -> float:
-    """Likewise; 0 if the field is absent."""
+    """Parse a finite number of at least `low`; 0 if the field is absent."""
     return 0.0 if text == ABSENT else read_number(message, field, text, low)
 
 
 def read_integer(message: str, field: str, text: str, low: int = 0) -> int:
-    """A whole number of `low` or more."""
+    """Parse an integer of at least `low`."""
     try:
         value = int(text)
     except ValueError:
@@ -48,23 +48,23 @@
 
 
 def read_optional_integer(message: str, field: str, text: str, default: int = 0) -> int:
-    """A whole number of 0 or more, or the default if the field is absent."""
+    """Parse an integer of at least 0; the default if the field is absent."""
     return default if text == ABSENT else read_integer(message, field, text)
 
 
 def read_choice(message: str, field: str, text: str, choices: Mapping[str, T]) -> T:
-    """The value that a field's text stands for."""
+    """Parse a field that is one of a number of choices."""
     if text not in choices:
         fail(message, field, "one of " + ", ".join(choices), text)
     return choices[text]
 
 
 def read_flag(message: str, field: str, text: str) -> bool:
-    """A flag, `1` or `0`."""
+    """Parse a flag, `1` or `0`."""
     return read_choice(message, field, text, {"1": True, "0": False})
 
 
 def check_count(message: str, parts: list[str], wanted: int) -> None:
-    """Check the number of parts of a line, its name included."""
+    """Check the number of parts of a line, including its name."""
     if len(parts) != wanted:
         fail(message, "fields", f"{wanted - 1} fields", len(parts) - 1)
--- a/ingress/wire_messages.py
+++ b/ingress/wire_messages.py
@@ -1,4 +1,4 @@
-"""Events and actions in the simulator's line protocol: one line each, and a row for each listed backend."""
+"""Events and actions in the simulator's line protocol, one line each; a listed backend has a row."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def read_load(message: str, text: str, fields: tuple[str, ...]) -> dict[str, float]:
-    """A load report: its values by name."""
+    """Parse a load report and return its values by name."""
     if text in (ABSENT, ""):
         return {}
     values = text.split(",")
@@ -65,8 +65,8 @@
     )
 
 
-REPEAT_BIT = 2  # of a work item: it is a client's retry,
-WRITE_BIT = 4  # and it changes something
+REPEAT_BIT = 2  # of a request's flags: the request is a client's retry
+WRITE_BIT = 4  # of a request's flags: the request changes data
 
 Parts = list[str]
 LoadFields = tuple[str, ...]
@@ -234,7 +234,7 @@
 
 
 def write_action(me: int, action: io.Action) -> str:
-    """The protocol line for an action of instance `me`."""
+    """Return the protocol line for an action of instance `me`."""
     formatter = ACTION_FORMATTERS.get(type(action))
-    # The simulator has no operators: answers to them don't occur there.
+    # The simulator has no operators, so it has no message for answers to them.
     return f"EMIT {me} {action}" if formatter is None else formatter(me, action)
--- a/ingress/wire_settings.py
+++ b/ingress/wire_settings.py
@@ -22,27 +22,27 @@
             self.values[key] = value
 
     def text(self, key: str, default: str | None = None) -> str:
-        """The text of a setting, or its default; without one the setting is required."""
+        """Return the text of a setting or its default; without a default the setting is required."""
         value = self.values.get(key, default)
         if value is None:
             fail("BORN", key, "a value (the setting is required)", None)
         return value
 
     def number(self, key: str, default: str | None = None) -> float:
-        """A setting that is a number."""
+        """Return a setting that is a number."""
         return read_number("BORN", key, self.text(key, default))
 
     def integer(self, key: str, default: str | None = None) -> int:
-        """A setting that is a whole number."""
+        """Return a setting that is an integer."""
         return int(self.number(key, default))
 
     def flag(self, key: str) -> bool:
-        """A setting that is true or false; false by default."""
+        """Return a setting that is true or false; false by default."""
         return read_choice("BORN", key, self.text(key, "false").lower(), FLAGS)
 
 
 def read_settings(parts: list[str]) -> tuple[io.Settings, tuple[str, ...]]:
-    """Parse the settings, and the names of the values in a load report; WireError if they are malformed."""
+    """Parse the settings and the names of the values in a load report. Raises WireError."""
     p = SettingPairs(parts)
     classes = tuple(
         io.ClassSettings(
--- a/ingress/wirehost.py
+++ b/ingress/wirehost.py
@@ -1,4 +1,4 @@
-"""Adapter to the simulator: hosts many gateways, and speaks its line protocol on standard streams."""
+"""Adapter to the simulator. It hosts many gateways and speaks the line protocol on standard streams."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from ingress.wire_messages import read_event, write_action
 from ingress.wire_settings import read_settings
 
-MIN_PARTS = 2  # of a line: the message and the instance
-MIN_START_PARTS = 3  # of BORN: also a seed
+MIN_PARTS = 2  # every line has a message and an instance
+MIN_START_PARTS = 3  # BORN also has a seed
 
 
 class Instance(NamedTuple):
-    """One gateway of the simulation, with what is needed to read its events."""
+    """A gateway of the simulation, with the names needed to parse its events."""
 
     gateway: Any
     load_fields: tuple[str, ...]
@@ -26,7 +26,7 @@
 
 
 class Host:
-    """All gateway instances in one process; they share nothing but this dispatch.
+    """All gateway instances in one process, which share only this dispatch.
 
     `make` creates a gateway from its settings, seed and start time.
     """
@@ -63,7 +63,7 @@
         return replies
 
     def _start(self, me: int, parts: list[str], now: float) -> None:
-        """An instance starts, with its settings."""
+        """Start an instance with its settings."""
         if len(parts) < MIN_START_PARTS:
             fail(parts[0], "fields", "ingress, seed and profileData", len(parts) - 1)
         settings, load_fields = read_settings(parts[3:])
@@ -73,7 +73,7 @@
         self.instances[me] = Instance(self.make(settings, seed, now), load_fields, classes, plans)
 
     def _handle(self, me: int, parts: list[str], rows: Iterator[str], now: float) -> list[str]:
-        """Pass an event to its instance; returns the lines for the resulting actions."""
+        """Pass an event to its instance, and return the lines for the resulting actions."""
         instance = self.instances.get(me)
         event = read_event(parts, instance.load_fields if instance else (), rows)
         if instance is None:
@@ -83,7 +83,7 @@
             read_choice(parts[0], "plan", event.plan, instance.plans)
         try:
             return [write_action(me, action) for action in instance.gateway.handle(now, event)]
-        except Exception as error:  # reported by the protocol's line for failures
+        except Exception as error:  # reported by the protocol's line for errors
             text = " ".join(f"{type(error).__name__}: {error}".split())
             return [f"EXCEPTION {me} {text}"]
 
@@ -109,7 +109,7 @@
 
 
 def main() -> int:
-    """Serve standard input; returns the exit code. A malformed line is reported in one plain line."""
+    """Serve standard input and return the exit code. A malformed line is reported in one line."""
     try:
         serve(sys.stdin, sys.stdout)
     except (WireError, ValueError) as error:
--- a/tests/gateway/programs/test_control_api.py
+++ b/tests/gateway/programs/test_control_api.py
@@ -316,7 +316,7 @@
         f"PUT {CONFIG} HTTP/1.1\r\nContent-Length: {http_listener_module.MAX_BODY_BYTES + 1}\r\n\r\n".encode()
     )
     await controller.hear(client, "too large")
-    controller.http_listener.bodies = http_listener_module.MAX_TOTAL_BODY_BYTES
+    controller.http_listener.body_bytes = http_listener_module.MAX_TOTAL_BODY_BYTES
     await controller.call("without room", "PUT", CONFIG, bytes(100_000))
 
 
--- a/tests/gateway/proxy/call_simulation.py
+++ b/tests/gateway/proxy/call_simulation.py
@@ -385,7 +385,7 @@
             left, client_connection.left = bytes(client_connection.left), bytearray()
             client_connection.whole = len(client_connection.asks)
             client_connection.send(left)
-        if client_connection.receiver.full_since and not client_connection.lost:
+        if client_connection.receiver.unread_since and not client_connection.lost:
             client_connection.hand(client_connection.receiver.resume_writing)
 
     def leave(self, client_connection: SimulatedClient) -> None:
--- a/tests/gateway/proxy/test_calls.py
+++ b/tests/gateway/proxy/test_calls.py
@@ -199,7 +199,7 @@
         harness.push(client_connection)
     elif what == "dial":
         harness.dials[addresses[i % len(addresses)]] = ("refused", "silent")[n % 2]
-    elif what == "slow" and client_connection is not None and not client_connection.receiver.full_since:
+    elif what == "slow" and client_connection is not None and not client_connection.receiver.unread_since:
         client_connection.hand(client_connection.receiver.pause_writing)
     harness.run(0.001)
 
--- a/tests/ingress/test_cordon.py
+++ b/tests/ingress/test_cordon.py
@@ -172,13 +172,13 @@
         other.publish(49, 100)
         rig.ingress.state = State(str(tmp_path))
         rig.ingress.follow(1)
-        assert rig.ingress.beside == 1 and io.SiblingProcesses(1) in rig.script.events
+        assert rig.ingress.sibling_count == 1 and io.SiblingProcesses(1) in rig.script.events
         assert (await client.ask(call("r1")))[0] == 503 and not backend.seen  # no socket is left
         crowd = await Client.connect(rig.port)
         assert (await crowd.ask(call("r2")))[0] == 503
         os.close(other.own)  # as when its process ends
         rig.ingress.follow(1)
-        assert rig.ingress.beside == 0 and rig.script.events[-1] == io.SiblingProcesses(0)
+        assert rig.ingress.sibling_count == 0 and rig.script.events[-1] == io.SiblingProcesses(0)
         assert (await (await Client.connect(rig.port)).ask(call("r3")))[0] == 200
 
     run(main())
--- a/tests/ingress/test_flow.py
+++ b/tests/ingress/test_flow.py
@@ -350,8 +350,8 @@
 @pytest.mark.parametrize("spoil,status", [(b"zz\r\n", 400), (b"", 408)])
 def test_a_body_that_cannot_be_read_on_or_stops_is_answered_and_never_whole(monkeypatch, spoil, status):
     monkeypatch.setattr(connection_interfaces, "USUAL", connection_interfaces.Limits(slow=0.1))
-    monkeypatch.setattr(client_module, "SLOW_RATE", 1 << 20)
-    monkeypatch.setattr(server_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(client_module, "MIN_BODY_RATE", 1 << 20)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
         backend = await UploadBackend().listen()
@@ -369,8 +369,8 @@
 
 def test_a_client_that_sends_much_and_then_nothing_is_not_waited_for(monkeypatch):
     monkeypatch.setattr(connection_interfaces, "USUAL", connection_interfaces.Limits(slow=0.1))
-    monkeypatch.setattr(client_module, "LAG_S", 0.1)
-    monkeypatch.setattr(server_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(client_module, "MAX_BODY_SILENCE_S", 0.1)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
         backend = await UploadBackend().listen()
@@ -484,17 +484,17 @@
     async def main():
         backend = await UploadBackend().listen()
         rig = IngressRig(in_turn("b0"))
-        rig.server.bodies_most = 500_000
+        rig.server.max_body_bytes = 500_000
         client = await rig.start(b0=backend.port)
         slow, gone = await Client.connect(rig.port), await Client.connect(rig.port)
         body = LARGE[:300_000]
         slow.writer.write(post("slow", body)[:-1])
-        await until(lambda: rig.server.bodies == 300_000)
+        await until(lambda: rig.server.body_bytes == 300_000)
         assert not rig.ingress.pending  # it takes nobody's place before it is whole
         gone.writer.write(post("gone", LARGE[:150_000], 7000)[:-9])
-        await until(lambda: rig.server.bodies > 440_000)
+        await until(lambda: rig.server.body_bytes > 440_000)
         gone.writer.close()
-        await until(lambda: rig.server.bodies == 300_000)
+        await until(lambda: rig.server.body_bytes == 300_000)
         client.writer.write(post("second", body))  # no room: it flows
         assert (await client.answer())[0] == 200
         slow.writer.write(body[-1:])
@@ -503,9 +503,9 @@
             ("second", True),
             ("slow", False),
         ]
-        assert rig.server.bodies == 0 and backend.got == [body, body]
+        assert rig.server.body_bytes == 0 and backend.got == [body, body]
         assert rig.server.room(500_000)
-        rig.ingress.beside = 1
+        rig.ingress.sibling_count = 1
         assert rig.server.room(250_000) and not rig.server.room(250_001)
 
     run(main())
--- a/tests/ingress/test_server.py
+++ b/tests/ingress/test_server.py
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("begun", [b"GET /api/0000", call(cls="pay", body=b"12345")[:-1]])
 def test_a_request_that_does_not_come_whole_is_not_waited_for(monkeypatch, begun):
     monkeypatch.setattr(connection_interfaces, "USUAL", connection_interfaces.Limits(slow=0.02))
-    monkeypatch.setattr(server_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
         rig = IngressRig(in_turn("b0"))
@@ -176,7 +176,7 @@
 def test_connections_that_say_nothing_or_no_more_are_closed(monkeypatch):
     """Those who never send a byte, and those who ask once and stay, would use up the descriptors."""
     monkeypatch.setattr(connection_interfaces, "USUAL", connection_interfaces.Limits(slow=0.02, idle=0.04))
-    monkeypatch.setattr(server_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
         backend = await Peer.start()
@@ -194,7 +194,7 @@
     async def main():
         backend = await Peer.start()
         rig = IngressRig(in_turn("b0"))
-        rig.server.most = 2
+        rig.server.max_connections = 2
         used = await rig.start(b0=backend.port)
         assert (await used.ask(call("r1")))[0] == 200
         silent = await Client.connect(rig.port)
@@ -208,17 +208,17 @@
 
 def test_a_client_that_does_not_read_is_let_go(monkeypatch):
     monkeypatch.setattr(connection_interfaces, "USUAL", connection_interfaces.Limits(slow=0.1))
-    monkeypatch.setattr(server_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
         backend = await Peer.start(ok(BODY))
         rig = IngressRig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         client.writer.transport.pause_reading()
-        for n in range(client_module.PIPELINE * 20):  # more than the kernel takes in
+        for n in range(client_module.MAX_PIPELINED * 20):  # more than the kernel takes in
             client.writer.write(call(f"r{n}"))
         await until(lambda: not rig.server.connections)
-        assert len(backend.seen) < client_module.PIPELINE * 20
+        assert len(backend.seen) < client_module.MAX_PIPELINED * 20
 
     run(main())
 
@@ -277,7 +277,7 @@
         backend = await Peer(act).listen()
         rig = IngressRig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
-        count = client_module.PIPELINE + 8
+        count = client_module.MAX_PIPELINED + 8
         client.writer.write(b"".join(call(f"r{i}") for i in range(count)) + b"rubbish\r\n\r\n")
         await until(lambda: backend.seen)
         go.set()
@@ -305,7 +305,7 @@
     async def main():
         backend = await Peer.start()
         rig = IngressRig(in_turn("b0"))
-        rig.server.most = 2
+        rig.server.max_connections = 2
         one = await rig.start(b0=backend.port)
         two = await Client.connect(rig.port)
         await one.ask(call("r1"))
@@ -322,7 +322,7 @@
 def test_a_client_too_many_is_answered_when_none_is_idle():
     async def main():
         rig = IngressRig(lambda event: [])
-        rig.server.most = 1
+        rig.server.max_connections = 1
         one = await rig.start()
         one.writer.write(call("r1"))
         await until(lambda: rig.ingress.pending)
@@ -335,7 +335,7 @@
 
 
 def test_a_connection_that_comes_while_leaving_does_not_keep_the_program(monkeypatch):
-    monkeypatch.setattr(server_module, "NOTICE_S", 0.0)
+    monkeypatch.setattr(server_module, "DRAIN_ACCEPT_S", 0.0)
 
     async def main():
         backend = await Peer.start(None)
@@ -359,7 +359,7 @@
 
 
 def test_a_drain_says_no_lets_all_connections_go_and_is_undone(monkeypatch):
-    monkeypatch.setattr(server_module, "NOTICE_S", 0.1)
+    monkeypatch.setattr(server_module, "DRAIN_ACCEPT_S", 0.1)
 
     async def main():
         go = asyncio.Event()
--- a/tests/ingress/test_services.py
+++ b/tests/ingress/test_services.py
@@ -71,7 +71,7 @@
         w.counter.add(2, 5.0, 3.0)
         go.set()
         assert [(r.outcome, r.total) for r in (await w.some(2))[1:]] == [(io.Outcome.OK, 222.0)]
-        assert service.connections == counter_module.LINES  # the connection was kept
+        assert service.connections == counter_module.CONNECTION_COUNT  # the connection was kept
 
     run(main())
 
@@ -128,7 +128,7 @@
         await until(lambda: w.counter.lines[0].link)
         w.counter.add(4, 1.0, 3.0)
         assert (await w.some(1))[0].outcome is io.Outcome.TIMEOUT
-        await until(lambda: service.connections > counter_module.LINES)
+        await until(lambda: service.connections > counter_module.CONNECTION_COUNT)
         service.act = lambda _: asyncio.sleep(0, ok(b"7"))
         w.counter.timeout = LONG
         w.counter.add(4, 1.0, 3.0)
@@ -326,7 +326,7 @@
     rounds = [[b.next() for b in backoffs] for _ in range(6)]
     for waits in rounds:
         tenths = Counting(int(w * 10) for w in waits)
-        assert max(tenths.values()) <= 12 and max(waits) <= discovery_module.RETRY_MOST_S
+        assert max(tenths.values()) <= 12 and max(waits) <= discovery_module.MAX_RETRY_DELAY_S
     assert sum(rounds[-1]) / 40 > 2.0 > sum(rounds[0]) / 40
     assert discovery_module.Backoff(3, random.Random(1)).next() <= 0.4  # a small one finds it again at once
 
--- a/tests/ingress/test_upstream.py
+++ b/tests/ingress/test_upstream.py
@@ -332,7 +332,7 @@
 
 
 def test_idle_connections_are_closed_well_before_the_backend_does(monkeypatch):
-    monkeypatch.setattr(upstream_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(upstream_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
         backend = await Peer.start()
@@ -372,13 +372,13 @@
             if isinstance(e, io.AttemptEnded) and not e.done
             else []
         )
-        rig.upstream.most = 2
+        rig.upstream.max_connections = 2
         client = await rig.start(**{f"b{i}": b.port for i, b in enumerate(backends)})
         for i in range(3):
             assert (await client.ask(call(f"b{i}")))[0] == 200
         assert len(rig.upstream.connections) == 2
         assert not rig.upstream.pools["b0"].idle  # the one that had been idle longest made room
-        rig.upstream.most = 0
+        rig.upstream.max_connections = 0
         for pool in rig.upstream.pools.values():
             pool.close_idle()
         assert (await client.ask(call("b1")))[0] == 503
