--- a/simulation/capacity/__init__.py
+++ b/simulation/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity: measures how control grows with size, and writes docs/CAPACITY.md from what was measured."""
+"""Measures how the control planes scale with size, and writes docs/CAPACITY.md from the measurements."""
--- a/simulation/capacity/fit.py
+++ b/simulation/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Slopes and exponents of what was measured at several sizes."""
+"""Slopes and exponents of measurements at several sizes."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class FitError(ValueError):
-    """There are too few sizes to fit a line."""
+    """The measurements have too few sizes to fit a line."""
 
 
 class Line(NamedTuple):
     """A straight line by least squares: `base` at size 0, `slope` for each unit of size.
 
-    `certainty` is the part of the values' variance that it explains (R squared).
+    `certainty` is the fraction of the values' variance that it explains (R squared).
     """
 
     base: float
@@ -27,16 +27,16 @@
     certainty: float
 
     def at(self, size: float) -> float:
-        """The line's value at a size."""
+        """Return the value at a size."""
         return self.base + self.slope * size
 
     def size_at(self, value: float) -> float | None:
-        """The size at which the line reaches a value; None if it doesn't grow."""
+        """Return the size at which the line reaches a value; None if it doesn't grow."""
         return (value - self.base) / self.slope if self.slope > 0 else None
 
 
 def line(points: Sequence[Point]) -> Line:
-    """The line through points, each weighted by the inverse of its size so that small sizes count as well."""
+    """Fit a line to points, weighted by the inverse of their sizes so that small sizes count as well."""
     _check(points)
     sizes = [float(point.size) for point in points]
     values = [float(point.value) for point in points]
@@ -49,7 +49,7 @@
 
 
 def exponent(points: Sequence[Point]) -> float | None:
-    """The power of the size with which the values grow; None where a value or a size isn't positive."""
+    """Return the exponent of the values' growth with size; None if a value or size isn't positive."""
     _check(points)
     if any(point.size <= 0 or point.value <= 0 for point in points):
         return None
@@ -61,9 +61,9 @@
 def _least_squares(
     sizes: Sequence[float], values: Sequence[float], weights: Sequence[float]
 ) -> tuple[float, float]:
-    """Base and slope of the weighted line, in closed form: the same to the last digit on every processor.
+    """Return base and slope of the weighted line, in closed form, so that all processors give equal digits.
 
-    Equal values have a slope of exactly 0, which a solver of linear equations misses by its rounding errors.
+    Equal values have a slope of exactly 0, which a solver of linear equations misses by rounding errors.
     """
     if min(values) == max(values):
         return values[0], 0.0
--- a/simulation/capacity/isolation.py
+++ b/simulation/capacity/isolation.py
@@ -1,4 +1,4 @@
-"""Runs a measurement in a process of its own, so that its memory and garbage are its own as well."""
+"""Runs a measurement in a separate process, so that it has its own memory and garbage collection."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def isolated(here: bool, call: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T:
-    """The result of a call in a fresh process; in this one if it may be `here`."""
+    """Return the result of a call in a new process, or in this one if `here`."""
     if here:
         return call(*args, **kwargs)
     with ProcessPoolExecutor(1, get_context("spawn"), initializer=quiet) as pool:
--- a/simulation/capacity/page.py
+++ b/simulation/capacity/page.py
@@ -13,7 +13,7 @@
 
 
 def page(recordings: Mapping[str, Recording]) -> str:
-    """The whole page."""
+    """Return the whole page."""
     figures = Figures(recordings)
     found = lines(figures)
     parts = [
@@ -56,7 +56,7 @@
 
 
 def _to_measure_again(recordings: Mapping[str, Recording]) -> list[str]:
-    """Says so where recordings are older than the mends that change what they measured."""
+    """Return a note if recordings are older than remedies that change what they measured."""
     measured = {r.source.removesuffix(former_names.CHANGED_TREE) for r in recordings.values()}
     old = [f"`{source}`" for source in former_names.SOURCES if source in measured]
     if not old:
@@ -86,7 +86,7 @@
 
 
 def _over(line: BudgetLine) -> str:
-    """A line that isn't held, in a few words."""
+    """Describe a line beyond its budget in a few words."""
     return (
         f"{line.role}, {line.plane}: {line.name} {number(line.estimate.value)} {line.unit} of "
         f"{number(line.budget)} ({number(line.ratio)} times)"
@@ -123,7 +123,7 @@
 
 
 def _uneven(figures: Figures) -> str:
-    """How uneven the counts were spread in these runs."""
+    """Return how unevenly the counts were distributed in these runs."""
     leader, other = (
         figures.last("requests", f"{role}: quota: charge received: messages")
         for role in ("leader", "controller")
@@ -137,7 +137,7 @@
 
 
 def _lost(figures: Figures) -> list[str]:
-    """Messages that found no link, where there were any."""
+    """Return a note on messages that found no link, if there were any."""
     found = {
         role: figures.series("ingresses", f"{role}: lost for want of a link: messages")
         for role in ("leader", "controller")
--- a/simulation/loopback/__init__.py
+++ b/simulation/loopback/__init__.py
@@ -1,1 +1,1 @@
-"""The same day over loopback: the real programs, the stand-in backends of examples/, clients in HTTP."""
+"""Runs of a day over loopback: the real programs, the backends of examples/, and HTTP clients."""
--- a/simulation/loopback/http_clients.py
+++ b/simulation/loopback/http_clients.py
@@ -1,4 +1,4 @@
-"""Clients, the operator and the platform, over loopback in HTTP."""
+"""HTTP calls of clients, operators and the platform over loopback."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Answer(NamedTuple):
-    """Status (0: none came whole), header lines by name in lower case, body."""
+    """A response: status (0 without a complete one), headers by lower-case name, body."""
 
     status: int
     headers: dict[str, str]
@@ -33,7 +33,7 @@
     wait_s: float,
     bind: str | None = None,
 ) -> Answer:
-    """One call on a connection of its own; silence or a break is no answer."""
+    """Make a call on a new connection. A timeout or a broken connection has status 0."""
     with contextlib.suppress(OSError, TimeoutError, ValueError, asyncio.IncompleteReadError):
         async with asyncio.timeout(wait_s):
             return await _call(address, method, path, headers, body)
@@ -59,7 +59,7 @@
 async def control(
     addresses: list[str], method: str, path: str, body: bytes, rng: random.Random, wait_s: float = 1.0
 ) -> tuple[Answer, str]:
-    """A call to `control`, following a 307 twice; the answer, and who gave it."""
+    """Call `control`, following a 307 twice. Returns the answer and the address that gave it."""
     address = rng.choice(addresses)
     kind = {"Content-Type": "application/json"} if body else {}
     for _ in range(3):
@@ -72,7 +72,7 @@
 
 
 def verify_body(answer: Answer, attempt: str) -> str:
-    """What is wrong with a success."""
+    """Return the error in a successful response; empty if there is none."""
     if not is_success(answer.status):
         return ""
     if answer.headers.get("attempt-id") != attempt:
@@ -81,7 +81,7 @@
 
 
 def generation(answer: Answer) -> int:
-    """Of the configuration in an answer; 0 if there is none."""
+    """Return the generation of the configuration in an answer; 0 if there is none."""
     try:
         found: Any = json.loads(answer.body)
         return int(found["generation"])
--- a/simulation/model/__init__.py
+++ b/simulation/model/__init__.py
@@ -1,1 +1,1 @@
-"""The model: time, network, machines and processes, backends, clients, operators, troubles."""
+"""The simulation model: time, network, machines, processes, backends, clients, operators, disruptions."""
--- a/simulation/model/client_requests.py
+++ b/simulation/model/client_requests.py
@@ -7,7 +7,7 @@
 
 
 class Request:
-    """A request of a client, with all its tries."""
+    """A request of a client, with all its attempts."""
 
     __slots__ = (
         "began",
@@ -22,7 +22,7 @@
         "number",
         "path",
         "tenant",
-        "ways",
+        "tried_ingresses",
         "zone",
     )
 
@@ -51,4 +51,4 @@
         self.began = now
         self.ends = now + kind.deadline_s
         self.left = kind.repeats
-        self.ways: set[str] = set()
+        self.tried_ingresses: set[str] = set()
--- a/simulation/model/disruptions/schedule.py
+++ b/simulation/model/disruptions/schedule.py
@@ -1,4 +1,4 @@
-"""A schedule of troubles: who is struck, and what is put on record."""
+"""The schedule of disruptions: selection of their targets, and their record."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DisruptionBase:
-    """Carries out a schedule. Each trouble chooses its victims by its number among those that fit."""
+    """Executes a schedule. Each disruption selects its targets by its number among the suitable ones."""
 
     def __init__(self, deployment: Deployment, operator_pool: OperatorPool, load: ClientLoad) -> None:
         self.deployment = deployment
@@ -23,23 +23,23 @@
         self.load = load
         self.simulator = deployment.simulator
         self.record = deployment.record
-        self.rng = self.simulator.chance()
-        # For after the next acknowledgement.
+        self.rng = self.simulator.random_generator()
+        # Actions for the next acknowledgement.
         self.after_next_ack: list[tuple[Disruption, Callable[[Machine], None]]] = []
         operator_pool.listeners.append(self.answered)
 
     def plan(self, disruptions: Sequence[Disruption]) -> None:
-        """Have them come in their time."""
+        """Schedule all disruptions."""
         for disruption in disruptions:
             if not hasattr(self, f"do_{disruption.kind}"):
                 raise ValueError(f"trouble {disruption.kind!r}: unknown")
             self.simulator.at(disruption.at, self.start_disruption, disruption)
 
     def answered(self, order: Order) -> None:
-        """An order has its answer."""
+        """Handle the answer to a change."""
 
     def start_disruption(self, disruption: Disruption) -> None:
-        """Begin a disruption, by the method of its kind."""
+        """Start a disruption by the method of its kind."""
         getattr(self, f"do_{disruption.kind}")(disruption)
 
     def record_disruption(
@@ -50,7 +50,7 @@
         lasts: float = 0.0,
         planned: bool = False,
     ) -> None:
-        """Put a trouble on record."""
+        """Record a disruption."""
         now = self.simulator.now
         if core is None:
             core = any(m.core for m in machines)
@@ -67,16 +67,16 @@
             )
         )
 
-    # Who.
+    # Targets.
 
     def machines(self) -> list[Machine]:
-        """All machines that haven't been removed."""
+        """Return all machines that haven't been removed."""
         return [m for m in self.deployment.machines.values() if not m.removed]
 
     def core(self) -> list[Machine]:
-        """The machines of the core."""
+        """Return the machines of the core."""
         return [m for m in self.machines() if m.core]
 
     def one(self, disruption: Disruption, among: Sequence[Any]) -> Any:
-        """The item that a disruption picks; None if there is none."""
+        """Return the item that a disruption selects; None if there is none."""
         return among[disruption.which % len(among)] if among else None
