--- a/simulation/recording.py
+++ b/simulation/recording.py
@@ -19,7 +19,9 @@
 from gateway.programs.proxy_node import ProxyNode
 from gateway.runtime.settings import Settings
 
-MOST = 200_000  # inputs that a recording keeps; one that has dropped inputs can't be replayed, only printed
+MAX_INPUTS = (
+    200_000  # inputs that a recording keeps; one that has dropped inputs can't be replayed, only printed
+)
 CONTROLLER_MACHINES = ("raft", "membership", "shard_assigner", "shard_owner")
 
 
@@ -45,7 +47,7 @@
 class Recording:
     """Records a process. `attach` must be called once its machines exist, before their first input."""
 
-    def __init__(self, head: RecordingHeader, most: int = MOST) -> None:
+    def __init__(self, head: RecordingHeader, most: int = MAX_INPUTS) -> None:
         self.head = head
         self.steps = deque[RecordedInput](maxlen=most)
         self.count = 0
--- a/simulation/spec.py
+++ b/simulation/spec.py
@@ -27,8 +27,8 @@
     slow_when_full: float = 0.0  # factor on the work's time with all slots taken; 0: none
     tells_load: bool = True
     cold_s: float = 3.0
-    spread: float = 0.2  # of the backends' speed
-    idle_s: float = 10.0  # after which backends close idle connections
+    spread: float = 0.2  # relative spread of the backends' speed
+    idle_s: float = 10.0  # time after which backends close idle connections
     closes: float = 0.01  # fraction of responses after which they close the connection
 
 
--- a/simulation/standard_days.py
+++ b/simulation/standard_days.py
@@ -19,7 +19,7 @@
 
 SITES = Path(__file__).parent / "sites"
 LOAD = {"quiet": 0.5, "trouble": 0.5, "scale": 0.6}
-"""Factors on the rates in a site's page: the requests of the days are about half of those."""
+"""Factors on the rates in a site's page, as the days have about half of these requests."""
 
 DAYS = {
     "bmgs-noms": {
@@ -65,7 +65,7 @@
     },
 }
 HOT_S = (6.0, 16.0)
-"""Range of how long a tenant is hot, inferred from the fraction of requests that the bench's days refuse."""
+"""Range of how long a tenant is hot; the fraction of refused requests is then that of the bench's days."""
 
 CLOSING = ("trouble-1", "scale-1", "trouble-3")
 """Days whose worst windows indicate a closing fault, at both sites."""
--- a/simulation/transcript.py
+++ b/simulation/transcript.py
@@ -14,7 +14,7 @@
 from simulation.planes import PLANE_NAMES
 from simulation.spec import Spec
 
-LONGEST = 60  # characters shown of a field's value
+MAX_VALUE_CHARACTERS = 60  # shown of a field's value
 HIDDEN = ("value", "packed", "digest", "newest_digest")  # fields of which only the length is shown
 HEARTBEAT_KINDS = (Kind.HEARTBEAT, Kind.APPEND_RESPONSE)
 """Kinds that a quiet transcript leaves out: a leader's heartbeats, and the responses to them."""
@@ -34,7 +34,7 @@
         elif field.enum_type is not None:
             found.append(f"{field.name}={field.enum_type.values_by_number[value].name}")
         else:
-            found.append(f"{field.name}={str(value)[:LONGEST]}")
+            found.append(f"{field.name}={str(value)[:MAX_VALUE_CHARACTERS]}")
     return " ".join(found)
 
 
@@ -60,7 +60,7 @@
         self.machines = set(machines)
         self.quiet = quiet
         self.lines: list[tuple[float, str]] = []
-        run.deployment.network.watch = self.record_message
+        run.deployment.network.observer = self.record_message
 
     def record_message(self, sender: Location, receiver: Location, plane: str, message: Any) -> None:
         """Record a message that has arrived."""
