--- a/tests/test_import_structure.py
+++ b/tests/test_import_structure.py
@@ -1,6 +1,6 @@
-"""The imports between modules: no circles, none from a lower layer to a higher one.
+"""Tests of the imports between modules: no cycles, and none from a lower layer to a higher one.
 
-Every import statement counts, also those within functions and under `if TYPE_CHECKING:`.
+Every import statement counts, including those within functions and under `if TYPE_CHECKING:`.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def module_files(root: Path, packages: tuple[str, ...]) -> dict[str, Path]:
-    """The files of all modules by their dotted names; a package is named as its `__init__` is imported."""
+    """Return the files of all modules by their dotted names; an `__init__` has the name of its package."""
     files = {}
     for package in packages:
         for path in (root / package).rglob("*.py"):
@@ -38,7 +38,7 @@
 
 
 def imported_names(name: str, path: Path) -> Iterator[tuple[str, str]]:
-    """Each imported module, and the name taken from it ("" where the module itself is imported)."""
+    """Yield each imported module, with the name imported from it ("" for the module itself)."""
     package = name if path.name == "__init__.py" else name.rpartition(".")[0]
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -54,7 +54,7 @@
 
 
 def import_graph(root: Path, packages: tuple[str, ...]) -> ImportGraph:
-    """Which of the packages' modules each module names in its imports."""
+    """Return the modules of the packages that each module imports."""
     files = module_files(root, packages)
     graph: ImportGraph = {}
     for name, path in files.items():
@@ -67,7 +67,7 @@
 
 
 def circles(graph: ImportGraph) -> list[str]:
-    """Circles of imports: once one is found, its closing import is left out and the search goes on."""
+    """Return the import cycles. The last import of a cycle is removed before the search continues."""
     found = []
     remaining = {name: set(targets) for name, targets in graph.items()}
     while True:
@@ -82,12 +82,12 @@
 
 
 def within(module: str, package: str) -> bool:
-    """Whether a module is the package or lies in it."""
+    """Whether a module is the package or belongs to it."""
     return module == package or module.startswith(f"{package}.")
 
 
 def upward_imports(graph: ImportGraph, pairs: tuple[tuple[str, str], ...]) -> list[str]:
-    """Imports that go from a lower package to a higher one."""
+    """Return the imports from a lower package to a higher one."""
     return sorted(
         f"{name} -> {target}"
         for name, targets in graph.items()
@@ -101,7 +101,7 @@
     return import_graph(ROOT, PACKAGES)
 
 
-def test_all_packages_are_read(project: ImportGraph) -> None:
+def test_all_packages_are_analysed(project: ImportGraph) -> None:
     for package in PACKAGES:
         assert sum(bool(targets) for name, targets in project.items() if within(name, package)) > 10
     for pair in UPWARD_IMPORTS:
@@ -109,7 +109,7 @@
             assert any(within(name, package) for name in project), package
 
 
-def test_no_circle_of_imports(project: ImportGraph) -> None:
+def test_no_import_cycles(project: ImportGraph) -> None:
     assert circles(project) == []
 
 
@@ -127,7 +127,7 @@
     "app/model/engine.py": "import app.runtime.timer\n",
     "app/model/wheel.py": "from app.model.engine import Engine\n",
 }
-"""A package without a fault; each case below puts one line into it."""
+"""A package without violations; each case below adds one line to it."""
 
 
 @pytest.mark.parametrize(
@@ -152,7 +152,7 @@
         ),
     ],
 )
-def test_a_planted_circle_is_found(tmp_path: Path, file: str, line: str, circle: set[str]) -> None:
+def test_added_cycle_is_detected(tmp_path: Path, file: str, line: str, circle: set[str]) -> None:
     graph = planted(tmp_path, file, line)
     (found,) = circles(graph)
     modules = found.split(" -> ")
@@ -160,25 +160,25 @@
     assert all(target in graph[name] for name, target in zip(modules, modules[1:], strict=False))
 
 
-def test_two_planted_circles_are_both_found(tmp_path: Path) -> None:
+def test_two_added_cycles_are_both_detected(tmp_path: Path) -> None:
     planted(tmp_path, "app/model/engine.py", "import app.model.wheel")
     graph = planted(tmp_path, "app/runtime/timer.py", "import app.runtime.clock")
     assert len(circles(graph)) == 2
 
 
-def test_a_planted_upward_import_is_found(tmp_path: Path) -> None:
+def test_added_upward_import_is_detected(tmp_path: Path) -> None:
     pairs = (("app.runtime", "app.cli"),)
     assert upward_imports(planted(tmp_path, "app/model/wheel.py", "import app.cli"), pairs) == []
     graph = planted(tmp_path, "app/runtime/clock.py", "if TYPE_CHECKING:\n    from app.cli import main")
     assert upward_imports(graph, pairs) == ["app.runtime.clock -> app.cli"]
 
 
-def test_the_made_up_package_has_no_circle(tmp_path: Path) -> None:
+def test_example_package_has_no_cycle(tmp_path: Path) -> None:
     assert circles(planted(tmp_path, "app/runtime/timer.py", "")) == []
 
 
 def planted(root: Path, file: str, line: str) -> ImportGraph:
-    """The imports of the made-up package with one more line in a file."""
+    """Return the imports of the example package with one more line in a file."""
     for name, text in MADE_UP.items():
         path = root / name
         path.parent.mkdir(parents=True, exist_ok=True)
