--- a/tests/gateway/proxy/call_simulation.py
+++ b/tests/gateway/proxy/call_simulation.py
@@ -41,8 +41,8 @@
 def public_routes() -> CompiledConfig:
     """Return routes of one service that need no API key: a safe and an unsafe one."""
     entries = [
-        route("read", "safe", public_routes=True),
-        route("order", "unsafe", public_routes=True),
+        route("read", "safe", public=True),
+        route("order", "unsafe", public=True),
         *(entry("services", s, health_path="/h", max_conns=99, protocol="h1", tls=False) for s in SERVICES),
     ]
     whole = {"generation": 1, "base-version": 0, "resource-list": entries}
@@ -62,7 +62,7 @@
 
 
 class Ask(NamedTuple):
-    """A client's request. With `large`, its body, if it has one, and its response are not buffered whole."""
+    """A client's request. With `large`, its body (if any) and its response are too large to be buffered."""
 
     attempt: str
     safe: bool
@@ -434,11 +434,14 @@
         assert not self.process.faults, self.process.faults
         runs = self.runs()
         for lifetime in self.all_lifetimes:
-            for came in lifetime.arrived:
+            for request in lifetime.arrived:
                 assert (
-                    lifetime.attempts_before_drain is None or came.attempt in lifetime.attempts_before_drain
+                    lifetime.attempts_before_drain is None
+                    or request.attempt in lifetime.attempts_before_drain
                 ), "is sent to a draining backend"
-                assert came.turned_away or lifetime.service == "s1", f"{came.attempt} runs at another service"
+                assert (
+                    request.turned_away or lifetime.service == "s1"
+                ), f"{request.attempt} runs at another service"
         for name, ask in self.asks.items():
             assert ask.safe or runs[name] <= 1, f"{name} runs {runs[name]} times"
         for client_connection in self.client_connections:
