--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -68,8 +68,11 @@
     fields: dict[str, str] = {}
     for place, text in lines:
         name, colon, value = (part.strip() for part in text.partition(":"))
-        if not colon or name not in Red._fields or name in fields or not value:
-            expected = ", ".join(field for field in Red._fields if field not in fields)
+        missing = [field for field in Red._fields if field not in fields]
+        if not missing:
+            raise pytest.UsageError(f"{place}: expected an empty line after the entry; got {text!r}")
+        if not colon or name not in missing or not value:
+            expected = ", ".join(missing)
             raise pytest.UsageError(f"{place}: expected a line `field: value` for {expected}; got {text!r}")
         fields[name] = value
     missing = [field for field in Red._fields if field not in fields]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -81,6 +81,10 @@
             [ENTRY.format("bad").replace("::test_bad", "")],
             "KNOWN-RED.txt:1: 'test_it.py' is not the id of a test",
         ),
+        (
+            [ENTRY.format("bad").rstrip() + "\n", ENTRY.format("worse")],
+            "KNOWN-RED.txt:6: expected an empty line",
+        ),
         (["test_it.py::test_bad, the second copy is late, 19\n"], "KNOWN-RED.txt:1: expected a line"),
     ],
 )
