--- a/gateway/consensus/learner.py
+++ b/gateway/consensus/learner.py
@@ -49,7 +49,7 @@
         if now >= self.next_request_at:
             self._send_join_requests(now)
 
-    def probe_other_addresses(self) -> None:
+    def query_other_addresses(self) -> None:
         """As a member without a leader, also query addresses outside the membership.
 
         All other members may have been replaced in the meantime.
--- a/gateway/consensus/raft.py
+++ b/gateway/consensus/raft.py
@@ -62,8 +62,7 @@
         first_start: Whether the system is started for the first time.
         tolerance: The number of members that may be lost at once.
         durable: Whether the disk outlives the process. If not, the disk is a member only if the first start
-        made
-            it one, and only until a durable disk replaces it.
+            made it one, and only until a durable disk replaces it.
         tuning: Timeouts and sizes.
     """
 
@@ -84,8 +83,7 @@
     Args:
         config: Configuration of the node.
         stored: The result of `Store.load`. It does not count as durable until it has been saved again,
-        because a
-            killed process may have left it unsynced.
+            because a killed process may have left it unsynced.
         rng: Source of election timeouts, ids and incarnations.
         new_disk_id: A random id, used if this disk is to become a new member.
         now: Seconds of this process's clock.
@@ -247,7 +245,7 @@
         self.candidate_role = None
         if self.voter.may_start_election(now):
             self.candidate_role = CandidateRole(self.replica, now, retry_interval_s)
-        self.learner_role.probe_other_addresses()
+        self.learner_role.query_other_addresses()
 
     def _advance(self, now: float) -> None:
         """Make the winner of an election the leader.
--- a/gateway/consensus/replication.py
+++ b/gateway/consensus/replication.py
@@ -116,7 +116,7 @@
             now: Seconds of this process's clock.
             entry: The entry; its term and index are replaced.
             new_value: Whether its value differs from the newest entry's, so that it must be sent with the
-            value.
+                value.
         """
         replica = self.replica
         longest = replica.tuning.election_min_s * self.timer.timeout_scale
--- a/gateway/drift/__init__.py
+++ b/gateway/drift/__init__.py
@@ -4,7 +4,7 @@
 
 - `detector`: `DriftDetector`, the state machine of one node.
 - `live_check`: checks of the running configuration on live requests; `quota_windows`: checks of the rate
-limits.
+  limits.
 - `fleet_status`: `FleetStatus` at a controller, which tracks the configuration that each node runs.
 - `events`, `outputs`: inputs and outputs; `metrics`: the Prometheus text format.
 """
--- a/gateway/drift/detector.py
+++ b/gateway/drift/detector.py
@@ -64,8 +64,7 @@
     Args:
         apply_s: The time in seconds within which a version must be in force.
         refuse_after_s: Requests are rejected once the last contact with the core is older than this. None
-        means
-            that a disconnected node continues to serve requests.
+            means that a disconnected node continues to serve requests.
     """
 
     def __init__(self, apply_s: float, refuse_after_s: float | None = None) -> None:
--- a/gateway/drift/fleet_status.py
+++ b/gateway/drift/fleet_status.py
@@ -81,8 +81,7 @@
 
     Attributes:
         spread_s: The time from the acknowledgement of the newest version to the latest report of a node in
-        contact
-            that this version is in force.
+            contact that this version is in force.
     """
 
     def __init__(self, apply_s: float) -> None:
--- a/gateway/quota/client_registry.py
+++ b/gateway/quota/client_registry.py
@@ -71,7 +71,7 @@
             address: The client's address.
             incarnation: The incarnation of the client's process.
             owner_unresponsive: Whether the client gets no responses from this owner, and admits by its
-            shares.
+                shares.
 
         Returns:
             The client's state; None if there are too many clients.
@@ -115,11 +115,11 @@
         reply.last_heard_ms.extend(int(1000 * (now - at)) for at in self.absent_since)
         return reply
 
-    def note_client_count(self, now: float, count: int, last_heard_ms: Sequence[int]) -> None:
+    def record_client_count(self, now: float, count: int, last_heard_ms: Sequence[int]) -> None:
         """Apply a client's report of the client count and of the times since the last contact."""
         self.client_count.update(now, count, last_heard_ms)
 
-    def note_reported(self, client: ClientState, shards: int) -> None:
+    def record_reported(self, client: ClientState, shards: int) -> None:
         """Record that a quota client has reported all its shares of these owned shards."""
         newly_reported = shards & ~client.reported_shards
         if newly_reported:
@@ -136,7 +136,7 @@
         client = self.clients.get(address)
         return client is not None and incarnation in client.former_incarnations
 
-    def note_left(self, now: float, address: Address, client: ClientState) -> None:
+    def record_left(self, now: float, address: Address, client: ClientState) -> None:
         """Record that a client has returned all its shares; it stays known as long as others count it."""
         client.left_at = now
         client.shares_expire_at = 0.0
--- a/gateway/quota/shard_owner.py
+++ b/gateway/quota/shard_owner.py
@@ -233,11 +233,11 @@
                 share = ReportedShare(report.size, report.expires_in_ms / 1000, report.spent, accrues_from)
                 counter.on_share_reported(now, sender, share)
                 client.extend_shares(now)
-        self.registry.note_client_count(now, heartbeat.client_count, heartbeat.last_heard_ms)
-        self.registry.note_reported(client, heartbeat.shards & self.lease.shards)
+        self.registry.record_client_count(now, heartbeat.client_count, heartbeat.last_heard_ms)
+        self.registry.record_reported(client, heartbeat.shards & self.lease.shards)
         if heartbeat.leaving:
             self._take_returned_shares(now, sender, heartbeat)
-            self.registry.note_left(now, sender, client)
+            self.registry.record_left(now, sender, client)
 
     def _take_returned_shares(self, now: float, sender: Address, heartbeat: ClientHeartbeat) -> None:
         """Count the units that a leaving client admitted by its shares, and end the shares."""
--- a/gateway/quota/share_allocator.py
+++ b/gateway/quota/share_allocator.py
@@ -125,8 +125,8 @@
             now: Seconds of the owner's clock.
             client: The client's address.
             share: Its share.
-            confirmed_number: Number of the newest share that the client has received from this owner; 0:
-            none.
+            confirmed_number: Number of the newest share that the client has received from this owner;
+                0: none.
 
         Returns:
             Whether another share must be sent to the client.
@@ -222,8 +222,7 @@
 
         Args:
             has_unreported: Whether a client may have an unreported share from an earlier owner. Shares that
-            were
-                reported are not among these, whatever has happened to them since.
+                were reported are not among these, whatever has happened to them since.
             unresponsive: The unresponsive clients, and the time of the last contact with each.
             window_began_at: Start of the window.
             window_ends_at: End of the window.
--- a/gateway/quota/tenant_counter.py
+++ b/gateway/quota/tenant_counter.py
@@ -155,8 +155,7 @@
             precedence: Precedence of the request within its tenant; 0 is the highest.
             refused_locally: Requests of the same precedence that the client has rejected itself.
             refused_earlier: Those of them that belong to an earlier window. They count towards the typical
-            demand,
-                but not towards the demand of the current window.
+                demand, but not towards the demand of the current window.
 
         Returns:
             False if the charge would exceed the allowance.
--- a/ingress/control.py
+++ b/ingress/control.py
@@ -72,9 +72,8 @@
         self.actions = []
         if type(event) in self.handlers:
             self.handlers[type(event)](now, event)
-        if not self.sweep_timer_set and (
-            self.limit.in_flight or self.queue
-        ):  # an idle ingress needs no timer
+        # An idle ingress needs no timer.
+        if not self.sweep_timer_set and (self.limit.in_flight or self.queue):
             self.sweep_timer_set = True
             self.actions.append(io.SetTimer(SWEEP_INTERVAL_S, SWEEP_TIMER))
         if self.gossip.unsent_usage and not self.gossip.send_scheduled:
@@ -124,11 +123,12 @@
         ):
             self.admit_locally(now, request)
             return
+        # Peers can't report fractions of units.
         if (
             request.share_below_one
             and customer.window < customer.window_number(now) - 1
             and not self.gossip.all_peers_reachable(now, customer)
-        ):  # peers can't report fractions of units
+        ):
             request.charge = received.units / self.call_policy.counted_ratio()
         self.add(now, customer, request.charge + customer.pending, request)
         customer.pending = 0.0
--- a/ingress/net/client.py
+++ b/ingress/net/client.py
@@ -16,7 +16,7 @@
 
 MAX_PIPELINED = 16  # largest number of requests read ahead on one connection
 MIN_BODY_RATE = 32 * 1024  # bytes per second at which a request body has to arrive at least
-MAX_BODY_SILENCE_S = 1.5  # longest wait for the next part of a body, however much has arrived
+BODY_IDLE_TIMEOUT_S = 1.5  # longest wait for the next part of a body, however much has arrived
 LINGER_BYTES = 256 * 1024  # bytes that are read and discarded while a client reads the last response
 ABSOLUTE_FORM_ORIGIN = re.compile(rb"(?i:https?)://[^/?#]*")  # scheme and authority of a target
 DROPPED_REQUEST_HEADERS = HOP_BY_HOP | {b"expect", b"content-length"}  # not passed on to backends
@@ -191,8 +191,8 @@
     def on_body(self, data: bytes) -> None:
         """Add a part of the body. Raises MalformedRequestError if the body is too large."""
         self.got += len(data)
-        ahead = min(self.loop.time() + MAX_BODY_SILENCE_S, self.due + len(data) / MIN_BODY_RATE)
-        self.due = max(self.due, ahead)  # fast data doesn't extend the time limit beyond MAX_BODY_SILENCE_S
+        ahead = min(self.loop.time() + BODY_IDLE_TIMEOUT_S, self.due + len(data) / MIN_BODY_RATE)
+        self.due = max(self.due, ahead)  # fast data doesn't extend the time limit beyond BODY_IDLE_TIMEOUT_S
         if self.got > self.server.limits.body:
             raise MalformedRequestError(
                 f"a body holds at most {self.server.limits.body} bytes", HTTPStatus.REQUEST_ENTITY_TOO_LARGE
--- a/tests/ingress/test_flow.py
+++ b/tests/ingress/test_flow.py
@@ -369,7 +369,7 @@
 
 def test_client_that_sends_much_and_then_nothing_times_out(monkeypatch):
     monkeypatch.setattr(connection_interfaces, "USUAL", connection_interfaces.Limits(slow=0.1))
-    monkeypatch.setattr(client_module, "MAX_BODY_SILENCE_S", 0.1)
+    monkeypatch.setattr(client_module, "BODY_IDLE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
